--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -116,7 +116,7 @@
         now: float,
     ) -> Upstream | None:
         """Find a free slot, one of own batch, or one of others' batch."""
-        found = self._roster.of_service(service, now)
+        found = self._roster.usable_upstreams(service, now)
         upstream = self._placement.choose(found, now, excluded=excluded)
         if upstream is not None:
             return upstream
@@ -166,11 +166,11 @@
         queue: AdmissionQueue,
         now: float,
     ) -> float:
-        found = self._roster.of_service(service, now)
+        found = self._roster.usable_upstreams(service, now)
         if not found:
             return NO_UPSTREAM_PAUSE
         slots = sum(upstream.slots for upstream in found)
-        ahead = len(queue) + self._board.waiting(now)
+        ahead = len(queue) + self._board.waiting_at_peers(now)
         return self._hold(service).expected_wait(ahead, slots)
 
     def _refusal(
@@ -180,7 +180,7 @@
         now: float,
     ) -> RefusedError:
         call = wanted.call
-        found = self._roster.of_service(wanted.service, now)
+        found = self._roster.usable_upstreams(wanted.service, now)
         pause = retry_after(expected, call, now)
         events.emit(
             events.CALL_REFUSED,
@@ -203,7 +203,7 @@
         upstream: Upstream,
         now: float,
     ) -> None:
-        load = self._board.of(upstream.id, now)
+        load = self._board.total_load(upstream.id, now)
         events.emit(
             events.CALL_PLACED,
             request=wanted.call.id,
--- a/gentiantrestle/gateway/assembly.py
+++ b/gentiantrestle/gateway/assembly.py
@@ -8,11 +8,11 @@
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.parts import Clock, Parts
 from gentiantrestle.gateway.batch.runner import Runner
+from gentiantrestle.gateway.fleet_state import FleetState
 from gentiantrestle.gateway.loads import LoadBoard
 from gentiantrestle.gateway.placement import Placement, Site
 from gentiantrestle.gateway.ports import Adapter
-from gentiantrestle.gateway.settling import SettlingStore
-from gentiantrestle.gateway.state import State
+from gentiantrestle.gateway.retrying_store import RetryingStore
 from gentiantrestle.models import Address
 
 
@@ -39,7 +39,7 @@
 def build_workplace(
     site: Site,
     adapter: Adapter,
-    state: State,
+    state: FleetState,
     clock: Clock,
     run: str,
 ) -> Workplace:
@@ -47,7 +47,7 @@
     rng = random.Random(run)
     board = LoadBoard()
     index = JobIndex()
-    store = SettlingStore(adapter.store, clock.now)
+    store = RetryingStore(adapter.store, clock.now)
     parts = Parts(
         index,
         JobStore(store, index, rng, clock.now, adapter.store),
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -22,7 +22,7 @@
     results_to_content,
     with_bodies,
 )
-from gentiantrestle.gateway.follow import Backoff
+from gentiantrestle.gateway.follower import Backoff
 from gentiantrestle.gateway.model import ItemResult, Job
 from gentiantrestle.gateway.ports import ObjectStore, Stored
 from gentiantrestle.store.client import (
--- a/gentiantrestle/gateway/batch/reader.py
+++ b/gentiantrestle/gateway/batch/reader.py
@@ -34,7 +34,7 @@
         It does for jobs that it accepted itself, unless another instance may
         have taken them over without being heard.
         """
-        settled = self._peers.settled(self._now())
+        settled = self._peers.no_recent_losses(self._now())
         return entry.sole and settled and not self._runner.stopping
 
     async def make_sure(self, entry: JobEntry) -> bool:
@@ -54,8 +54,8 @@
         """Learn a job's new results; raise ``StoreUnavailableError``."""
         if entry.complete or self.is_sure(entry):
             return
-        name = runner_of(entry, self._peers.workers(self._now()))
-        peer = self._peers.find(name) if name else None
+        name = runner_of(entry, self._peers.working_runs(self._now()))
+        peer = self._peers.find_run(name) if name else None
         if self._runner.is_own(entry):
             peer = None
         if peer is None or not await self.ask(peer, entry):
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -18,7 +18,7 @@
 )
 from gentiantrestle.gateway.batch.table import RunTable
 from gentiantrestle.gateway.batch.writer import ResultWriter
-from gentiantrestle.gateway.loads import BatchWaiting
+from gentiantrestle.gateway.loads import BatchBacklog
 from gentiantrestle.gateway.model import Route, Upstream
 from gentiantrestle.gateway.routing import choose_service
 from gentiantrestle.store.client import StoreUnavailableError
@@ -46,7 +46,7 @@
         self._paused: dict[str, float] = {}
         self._learning: set[str] = set()
         self._woken = asyncio.Event()
-        self.waiting = BatchWaiting()
+        self.waiting = BatchBacklog()
         # Runs of instances whose jobs were taken over, told to the others.
         self.taken: deque[str] = deque(maxlen=TAKEN_TOLD)
         self.stopping = False
@@ -85,9 +85,9 @@
         self._give_up(mine)
         busy = self.table.ids() | self._writer.held() | self._pausing(now)
         waiting = due_items(mine, busy, self.table.need)
-        self.waiting = BatchWaiting()
+        self.waiting = BatchBacklog()
         if waiting:
-            self.waiting = BatchWaiting(len(waiting), waiting[0].spare)
+            self.waiting = BatchBacklog(len(waiting), waiting[0].spare)
             self._start_some(waiting, now)
 
     def _start_some(self, waiting: list[Due], now: float) -> None:
@@ -99,7 +99,7 @@
             if route is None:
                 continue
             service = choose_service(route, due.spec.id)
-            found = self._parts.roster.of_service(service, now)
+            found = self._parts.roster.usable_upstreams(service, now)
             budget = budgets.get(service)
             if budget is None:
                 budget = self._budget(found, ahead, now)
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -12,7 +12,7 @@
 from gentiantrestle.daemon.membership.rendezvous import owner
 from gentiantrestle.gateway.batch.index import JobEntry
 from gentiantrestle.gateway.model import ItemSpec, Route
-from gentiantrestle.gateway.peers import SILENCE
+from gentiantrestle.gateway.peers import SILENCE_TIMEOUT
 
 # An item with less time to spare than this is not cut for a request: the
 # request would take about as long as the item has left.
@@ -96,7 +96,7 @@
     """
     if entry.job.acceptor == instance:
         return True
-    if age < SILENCE:
+    if age < SILENCE_TIMEOUT:
         return False
     return runner_of(entry, (*alive, instance)) == instance
 
--- a/gentiantrestle/gateway/batch/table.py
+++ b/gentiantrestle/gateway/batch/table.py
@@ -113,8 +113,8 @@
         for upstream in used:
             if self._parts.placement.free(upstream, now) >= 0:
                 continue
-            own = board.own[upstream.id].batch
-            if own >= board.most_batch(upstream.id, now):
+            own = board.own_loads[upstream.id].batch
+            if own >= board.max_peer_batch(upstream.id, now):
                 self.preempt((upstream.id,))
 
     def need(
--- a/gentiantrestle/gateway/state.py
+++ b/gentiantrestle/gateway/fleet_state.py
@@ -5,13 +5,13 @@
 import xxhash
 
 from gentiantrestle import events
-from gentiantrestle.gateway.follow import LIST_ANEW, Sink
+from gentiantrestle.gateway.follower import LIST_ANEW, StoreHandlers
 from gentiantrestle.gateway.ports import Documents, Stored
 from gentiantrestle.gateway.roster import Roster
 from gentiantrestle.gateway.routing import Router
 
 
-class State:
+class FleetState:
     """Takes in the store's objects, from the store itself or from a peer."""
 
     def __init__(
@@ -29,11 +29,11 @@
         self.config: Stored | None = None
         self.upstreams: dict[str, Stored] = {}
         # The same entries have the same mark, whoever knows them.
-        self.upstreams_mark = 0
+        self.upstreams_fingerprint = 0
         self.on_change: Callable[[], None] = _nothing
 
     @property
-    def version(self) -> int:
+    def config_version(self) -> int:
         """Version of the configuration in force."""
         return self.router.table.version
 
@@ -51,18 +51,18 @@
         """Take entries that vanish in the next ``left`` s for lapsed."""
         self.roster.note_lapse(self._now() + left)
 
-    def config_sink(self) -> Sink:
+    def config_handlers(self) -> StoreHandlers:
         """Return what a follower of the configuration does."""
-        return Sink(
+        return StoreHandlers(
             self._take_config,
             self._take_config,
             _nothing,
             lambda: self.config.revision if self.config else LIST_ANEW,
         )
 
-    def upstream_sink(self) -> Sink:
+    def upstream_handlers(self) -> StoreHandlers:
         """Return what a follower of the upstreams' entries does."""
-        return Sink(
+        return StoreHandlers(
             self.replace_upstreams,
             self.change_upstreams,
             self._note_outage,
@@ -136,7 +136,7 @@
 
     def _note(self, revision: int) -> None:
         self.roster.revision = revision
-        self.upstreams_mark = _fingerprint(self.upstreams.values())
+        self.upstreams_fingerprint = _fingerprint(self.upstreams.values())
         entries = self.roster.entries()
         draining = sum(one.draining for one in entries)
         events.emit(
--- a/gentiantrestle/gateway/follow.py
+++ b/gentiantrestle/gateway/follower.py
@@ -24,18 +24,18 @@
 LIST_ANEW = 0  # no revision of the store
 
 
-class Gate(asyncio.Event):
+class WatchGate(asyncio.Event):
     """Open while the store is to be asked."""
 
     @classmethod
-    def always_open(cls) -> 'Gate':
+    def always_open(cls) -> 'WatchGate':
         """Return one that is never closed."""
         gate = cls()
         gate.set()
         return gate
 
 
-class Sink(NamedTuple):
+class StoreHandlers(NamedTuple):
     """What a follower does with what it reads."""
 
     replace: Callable[[Iterable[Stored], int], None]
@@ -45,14 +45,14 @@
     known: Callable[[], int]
 
 
-class Subject(NamedTuple):
+class WatchSpec(NamedTuple):
     """What is followed; after changes a rest makes a series one call."""
 
     kind: str
     rest: float  # seconds
     wait: float = WATCH_WAIT  # seconds
     # Read once at the start, whoever watches: callers wait for it.
-    at_start: bool = False
+    read_at_start: bool = False
 
 
 class Backoff:
@@ -80,10 +80,10 @@
     def __init__(
         self,
         store: ObjectStore,
-        subject: Subject,
-        sink: Sink,
+        subject: WatchSpec,
+        sink: StoreHandlers,
         rng: random.Random,
-        gate: Gate,
+        gate: WatchGate,
     ) -> None:
         """Ask nothing of the store while ``gate`` is closed."""
         self._store = store
@@ -142,7 +142,7 @@
     @property
     def _starts_with_it(self) -> bool:
         """Tell whether this kind has to be read before anything is served."""
-        return self._subject.at_start and self._sink.known() == LIST_ANEW
+        return self._subject.read_at_start and self._sink.known() == LIST_ANEW
 
     def _forget(self) -> None:
         """Go on at what is known by then when there is duty again."""
--- a/gentiantrestle/gateway/gossip.py
+++ b/gentiantrestle/gateway/gossip.py
@@ -10,15 +10,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.daemon.membership.codec import BadFrameError, decode
-from gentiantrestle.gateway.loads import NO_TOLD, LoadBoard, Told, combine
-from gentiantrestle.gateway.peers import (
-    MIN_GAP,
-    SUMMARY_GAP,
-    Peer,
-    PeerList,
-    far_gap,
-)
-from gentiantrestle.gateway.pulses import (
+from gentiantrestle.gateway.gossip_messages import (
     Heard,
     Identity,
     News,
@@ -27,12 +19,20 @@
     read_told,
     write_pulse,
 )
+from gentiantrestle.gateway.loads import NO_TOLD, LoadBoard, LoadReport, combine
+from gentiantrestle.gateway.peers import (
+    MIN_INTERVAL,
+    SUMMARY_GAP,
+    Peer,
+    PeerList,
+    remote_interval,
+)
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
 # Datagrams an instance may send in a second to those of its own zone.
 NEAR_RATE = 90
-MAX_GAP = 0.4  # seconds until the same is told again
+MAX_INTERVAL = 0.4  # seconds until the same is told again
 ZONE_GAP = 0.1  # seconds between two sums told to another zone
 MAX_HOSTS = 100  # hosts in one datagram
 FAR = 'all other zones'  # the name under which their sum stands
@@ -40,10 +40,10 @@
 
 def near_gap(hosts: int) -> float:
     """Return how often ``hosts`` others of the own zone are told, in s."""
-    return max(MIN_GAP, hosts / NEAR_RATE)
+    return max(MIN_INTERVAL, hosts / NEAR_RATE)
 
 
-class Rhythm:
+class SendSchedule:
     """When a group of hosts is told again; no I/O."""
 
     def __init__(self) -> None:
@@ -55,9 +55,9 @@
         """Tell whether it is time to tell a state, at most each ``gap`` s."""
         since = now - self._at
         # Half a step early, so that a late timer doesn't skip a turn.
-        if since < gap - MIN_GAP / 2:
+        if since < gap - MIN_INTERVAL / 2:
             return False
-        if state == self._state and since < max(gap, MAX_GAP):
+        if state == self._state and since < max(gap, MAX_INTERVAL):
             return False
         self._state = state
         self._at = now
@@ -82,9 +82,9 @@
         self._own = own
         self._now = now
         self._number = 0
-        self._near = Rhythm()
-        self._far = Rhythm()
-        self._zones = Rhythm()
+        self._near = SendSchedule()
+        self._far = SendSchedule()
+        self._zones = SendSchedule()
         self._transport: asyncio.DatagramTransport | None = None
         self.on_heard: Callable[[Heard], None] = _nothing
 
@@ -121,17 +121,19 @@
         """Tell the others now."""
         if self._transport is not None:
             hosts = self._peers.hosts(self._now())
-            self._send(hosts, self._own(), News(self._board.own))
+            self._send(hosts, self._own(), News(self._board.own_loads))
 
     def _hear(self, pulse: ttypes.Pulse) -> None:
         now = self._now()
-        newcomer = self._peers.hear(read_peer(pulse, now))
+        newcomer = self._peers.update(read_peer(pulse, now))
         self._peers.learn_hosts(pulse.hosts or (), now)
-        self._board.hear(pulse.instance, read_told(pulse, now))
+        self._board.set_peer_report(pulse.instance, read_told(pulse, now))
         if pulse.zone_summary is not None:
-            self._board.hear(pulse.zone, read_told(pulse.zone_summary, now))
+            self._board.set_peer_report(
+                pulse.zone, read_told(pulse.zone_summary, now)
+            )
         if pulse.far_summary is not None:
-            self._board.hear(FAR, read_told(pulse.far_summary, now))
+            self._board.set_peer_report(FAR, read_told(pulse.far_summary, now))
         if newcomer:
             events.emit(events.MEMBER_ALIVE, instance=pulse.instance)
             hosts = self._peers.hosts(now)[:MAX_HOSTS]
@@ -142,14 +144,14 @@
         """Tell each group what is new, when it is due."""
         now = self._now()
         near, far = self._peers.split_hosts(now)
-        gap = far_gap(len(far))
+        gap = remote_interval(len(far))
         own = self._own()
         # The time to spare runs down all the while: that alone is no news.
-        state = (own.without_spare(), dict(self._board.own))
-        sums = gap > SUMMARY_GAP and self._peers.is_speaker(now)
+        state = (own.without_spare(), dict(self._board.own_loads))
+        sums = gap > SUMMARY_GAP and self._peers.is_aggregator(now)
         beyond = self._sum_of_zones(now) if sums else None
         if self._near.is_due((state, beyond), near_gap(len(near)), now):
-            self._send(near, own, News(self._board.own, far=beyond))
+            self._send(near, own, News(self._board.own_loads, far=beyond))
         if self._far.is_due(state, gap, now):
             self._tell_far(far, own, gap)
         if sums and self._zones.is_due(now, ZONE_GAP, now):
@@ -159,28 +161,32 @@
     def _pause(self) -> float:
         """Seconds until one of the groups can be due."""
         near = near_gap(len(self._peers.near()))
-        return max(MIN_GAP, min(near, ZONE_GAP))
+        return max(MIN_INTERVAL, min(near, ZONE_GAP))
 
     def _tell_far(self, hosts: list[str], own: Own, gap: float) -> None:
         if gap > SUMMARY_GAP:
             self._send(hosts, own.without_loads(), News({}))
         else:
-            self._send(hosts, own, News(self._board.own))
+            self._send(hosts, own, News(self._board.own_loads))
 
     def _tell_zones(self, own: Own, now: float) -> None:
         """Tell the other zones' speakers of this zone's loads."""
         mates = [one.instance for one in self._peers.near()]
         mine = NO_TOLD._replace(
-            loads=self._board.own, waiting=own.waiting, batch=own.batch
+            loads=self._board.own_loads,
+            waiting=own.waiting,
+            batch_backlog=own.batch,
         )
-        zone = combine((mine, self._board.add_up(mates, now)), now)
-        hosts = [one.host for one in self._peers.far_speakers(now)]
+        zone = combine((mine, self._board.combine_peers(mates, now)), now)
+        hosts = [one.host for one in self._peers.remote_aggregators(now)]
         self._send(hosts, own.without_loads(), News({}, zone=zone))
 
-    def _sum_of_zones(self, now: float) -> Told:
-        zones = {one.zone for one in self._peers.far_speakers(now)}
+    def _sum_of_zones(self, now: float) -> LoadReport:
+        zones = {one.zone for one in self._peers.remote_aggregators(now)}
         # The time is left out, so that equal sums are equal.
-        return self._board.add_up(sorted(zones), now)._replace(at=0)
+        return self._board.combine_peers(sorted(zones), now)._replace(
+            received_at=0
+        )
 
     def _send(self, hosts: Iterable[str], own: Own, news: News) -> None:
         self._number += 1
@@ -189,7 +195,7 @@
             self._transport.sendto(payload, (host, self._me.port))
 
     def _sweep(self) -> None:
-        for gone in self._peers.sweep(self._now()):
+        for gone in self._peers.remove_silent(self._now()):
             events.emit(events.MEMBER_LOST, instance=gone.instance)
             self._board.forget(gone.instance)
 
--- a/gentiantrestle/gateway/pulses.py
+++ b/gentiantrestle/gateway/gossip_messages.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gentiantrestle.daemon.membership.codec import LENGTH, encode
-from gentiantrestle.gateway.loads import BatchWaiting, Load, Told
+from gentiantrestle.gateway.loads import BatchBacklog, Load, LoadReport
 from gentiantrestle.gateway.peers import Peer
 from gentiantrestle.wire.peer import ttypes
 
@@ -20,18 +20,18 @@
     waiting: int
     ended: tuple[str, ...]
     taken: tuple[str, ...]
-    batch: BatchWaiting
+    batch: BatchBacklog
     upstreams_revision: int
     jobs_revision: int
-    upstreams_mark: int
+    upstreams_fingerprint: int
 
     def without_spare(self) -> 'Own':
         """Leave out the time that batch has to spare."""
-        return self._replace(batch=self.batch._replace(spare=0))
+        return self._replace(batch=self.batch._replace(slack=0))
 
     def without_loads(self) -> 'Own':
         """Leave out what is added up for other zones."""
-        return self._replace(waiting=0, batch=BatchWaiting())
+        return self._replace(waiting=0, batch=BatchBacklog())
 
 
 class Heard(NamedTuple):
@@ -56,8 +56,8 @@
 
     loads: Mapping[str, Load]
     hosts: list[str] | None = None
-    zone: Told | None = None
-    far: Told | None = None
+    zone: LoadReport | None = None
+    far: LoadReport | None = None
 
 
 def write_pulse(me: Identity, own: Own, number: int, news: News) -> bytes:
@@ -80,10 +80,10 @@
         ended=list(own.ended),
         taken=list(own.taken),
         batch_waiting=own.batch.count,
-        batch_spare=int(own.batch.spare * MS_PER_S),
+        batch_spare=int(own.batch.slack * MS_PER_S),
         upstreams_revision=own.upstreams_revision,
         jobs_revision=own.jobs_revision,
-        upstreams_mark=own.upstreams_mark,
+        upstreams_mark=own.upstreams_fingerprint,
         zone_summary=news.zone and _pack_summary(news.zone),
         far_summary=news.far and _pack_summary(news.far),
     )
@@ -108,11 +108,11 @@
     )
 
 
-def read_told(told: ttypes.Pulse | ttypes.Summary, now: float) -> Told:
+def read_told(told: ttypes.Pulse | ttypes.Summary, now: float) -> LoadReport:
     """Return the loads that a pulse or a summary tells of."""
     loads = {one.upstream: Load(one.online, one.batch) for one in told.loads}
-    batch = BatchWaiting(told.batch_waiting, told.batch_spare / MS_PER_S)
-    return Told(
+    batch = BatchBacklog(told.batch_waiting, told.batch_spare / MS_PER_S)
+    return LoadReport(
         now, loads, told.waiting, batch, isinstance(told, ttypes.Summary)
     )
 
@@ -124,10 +124,10 @@
     ]
 
 
-def _pack_summary(told: Told) -> ttypes.Summary:
+def _pack_summary(told: LoadReport) -> ttypes.Summary:
     return ttypes.Summary(
         loads=_pack_loads(told.loads),
         waiting=told.waiting,
-        batch_waiting=told.batch.count,
-        batch_spare=int(told.batch.spare * MS_PER_S),
+        batch_waiting=told.batch_backlog.count,
+        batch_spare=int(told.batch_backlog.slack * MS_PER_S),
     )
--- a/gentiantrestle/gateway/relay.py
+++ b/gentiantrestle/gateway/peer_calls.py
@@ -10,11 +10,11 @@
     PeerServer,
 )
 from gentiantrestle.gateway.batch.index import JobEntry, JobIndex
-from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.gossip import peer_address
 from gentiantrestle.gateway.model import ItemResult
 from gentiantrestle.gateway.peers import Peer, PeerList
-from gentiantrestle.gateway.watching import CopyRule
+from gentiantrestle.gateway.state_copier import StateCopier
+from gentiantrestle.gateway.zone_watcher import CopySourceSelector
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
@@ -26,10 +26,10 @@
 
     def __init__(
         self,
-        copies: Copies,
+        copies: StateCopier,
         peers: PeerList,
         index: JobIndex,
-        rule: CopyRule,
+        rule: CopySourceSelector,
         port: int,
     ) -> None:
         """Call the others at ``port``, which is the same on all hosts."""
@@ -56,7 +56,7 @@
             on_round()
             at = now()
             peer = self._rule.choose(
-                self._copies.known, self._peers.fresh(at), at
+                self._copies.known, self._peers.alive(at), at
             )
             if peer is not None:
                 await self._copy(peer)
--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -9,23 +9,23 @@
 from gentiantrestle.gateway.batch.index import JobIndex
 from gentiantrestle.gateway.batch.reader import ResultReader
 from gentiantrestle.gateway.batch.runner import Runner
-from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.gossip import Gossip
+from gentiantrestle.gateway.gossip_messages import Heard, Identity, Own
 from gentiantrestle.gateway.loads import LoadBoard
+from gentiantrestle.gateway.peer_calls import Relay
 from gentiantrestle.gateway.peers import PeerList
-from gentiantrestle.gateway.pulses import Heard, Identity, Own
-from gentiantrestle.gateway.relay import Relay
-from gentiantrestle.gateway.watching import CopyRule
+from gentiantrestle.gateway.state_copier import StateCopier
+from gentiantrestle.gateway.zone_watcher import CopySourceSelector
 from gentiantrestle.supervisor import Child
 
 # Jobs ended here that the others are told of with each datagram.
 ENDED_TOLD = 8
 
 
-class Work(NamedTuple):
+class PeeringParts(NamedTuple):
     """The parts that the others' news are for."""
 
-    copies: Copies
+    copies: StateCopier
     board: LoadBoard
     admission: Admission
     index: JobIndex
@@ -40,7 +40,7 @@
         self,
         identity: Identity,
         peers: PeerList,
-        work: Work,
+        work: PeeringParts,
         connected: Callable[[], bool],
         now: Callable[[], float],
     ) -> None:
@@ -52,10 +52,10 @@
         self._ended: deque[str] = deque(maxlen=ENDED_TOLD)
         self._leaving = False
         # Done each time before it is decided whom to copy from.
-        self.on_round: Callable[[], None] = _nothing
+        self.before_sync: Callable[[], None] = _nothing
         self._gossip = Gossip(identity, peers, work.board, self._own, now)
         self._gossip.on_heard = self._hear
-        rule = CopyRule(
+        rule = CopySourceSelector(
             identity.zone, random.Random(identity.incarnation).random
         )
         self._relay = Relay(work.copies, peers, work.index, rule, identity.port)
@@ -66,14 +66,16 @@
         """Pass on what the supervisor runs."""
         yield Child('gossip', self._gossip.run)
         yield Child('peers', lambda: self._relay.serve(self._identity.host))
-        yield Child('relay', lambda: self._relay.run(self._now, self.on_round))
+        yield Child(
+            'relay', lambda: self._relay.run(self._now, self.before_sync)
+        )
 
     def leave(self) -> None:
         """Tell the others that this instance takes no work on any more."""
         self._leaving = True
         self._gossip.announce()
 
-    def note_ended(self, job: str) -> None:
+    def announce_ended_job(self, job: str) -> None:
         """Tell the others that a caller has ended a job."""
         self._ended.append(job)
 
@@ -89,7 +91,7 @@
             self._work.runner.waiting,
             known.upstreams_revision,
             known.jobs_revision,
-            known.upstreams_mark,
+            known.upstreams_fingerprint,
         )
 
     def _hear(self, heard: Heard) -> None:
--- a/gentiantrestle/gateway/peers.py
+++ b/gentiantrestle/gateway/peers.py
@@ -9,7 +9,9 @@
 from typing import NamedTuple
 
 # An instance tells of itself at least every 0.4 s; datagrams may be lost.
-SILENCE = 1.6  # seconds until an instance of the own zone counts as gone
+SILENCE_TIMEOUT = (
+    1.6  # seconds until an instance of the own zone counts as gone
+)
 # Datagrams an instance may send in a second to those of other zones.
 FAR_RATE = 160
 # In large fleets, where loads are added up for other zones, what it tells them
@@ -17,7 +19,7 @@
 RARE_RATE = 45
 # Where news of other zones would be older than this, loads are added up.
 SUMMARY_GAP = 0.25  # seconds
-MIN_GAP = 0.05  # seconds between two datagrams to the same instance
+MIN_INTERVAL = 0.05  # seconds between two datagrams to the same instance
 SPEAKERS = 2  # of each zone that are told, in case the first is gone
 MISSED = 3.2  # datagrams from another zone that may be missed
 FORGET_AFTER = 60.0  # seconds until a silent host is not told any more
@@ -30,38 +32,38 @@
 
     instance: str
     incarnation: int
-    number: int
+    sequence: int
     host: str
     zone: str
     leaving: bool
     config_version: int
     store_reached: bool
-    heard: float
+    last_heard: float
     upstreams_revision: int = 0
     jobs_revision: int = 0
-    upstreams_mark: int = 0
+    upstreams_fingerprint: int = 0
 
     @property
     def run(self) -> str:
         """Name this run of the instance: another one after a restart."""
         return run_name(self.instance, self.incarnation)
 
-    def fresh(self, now: float, silence: float = SILENCE) -> bool:
+    def is_alive(self, now: float, silence: float = SILENCE_TIMEOUT) -> bool:
         """Tell whether the instance was heard of in the last ``silence`` s."""
-        return now - self.heard < silence
+        return now - self.last_heard < silence
 
 
-def far_gap(hosts: int) -> float:
+def remote_interval(hosts: int) -> float:
     """Return how often ``hosts`` instances of other zones are told, in s."""
     gap = hosts / FAR_RATE
     if gap > SUMMARY_GAP:
         gap = hosts / RARE_RATE
-    return max(MIN_GAP, gap)
+    return max(MIN_INTERVAL, gap)
 
 
-def far_silence(hosts: int) -> float:
+def remote_silence_timeout(hosts: int) -> float:
     """Return when one of ``hosts`` in other zones counts as gone, in s."""
-    return max(SILENCE, MISSED * far_gap(hosts))
+    return max(SILENCE_TIMEOUT, MISSED * remote_interval(hosts))
 
 
 class PeerList:
@@ -83,7 +85,7 @@
         self._hosts: dict[str, float] = {}
         self._lost: dict[str, float] = {}
 
-    def hear(self, told: Peer) -> bool:
+    def update(self, told: Peer) -> bool:
         """Take in what an instance says; tell whether it is a newcomer."""
         if told.instance == self._instance:
             return False
@@ -91,7 +93,7 @@
         if known is not None and told[1:3] <= known[1:3]:
             return False
         self._by_name[told.instance] = told
-        self._hosts[told.host] = told.heard
+        self._hosts[told.host] = told.last_heard
         self._lost.pop(told.instance, None)
         return known is None or known.incarnation != told.incarnation
 
@@ -117,9 +119,9 @@
             [host for host in hosts if host not in near],
         )
 
-    def sweep(self, now: float) -> list[Peer]:
+    def remove_silent(self, now: float) -> list[Peer]:
         """Drop and return the instances that have fallen silent."""
-        alive = self.fresh(now)
+        alive = self.alive(now)
         silent = [one for one in self._by_name.values() if one not in alive]
         for one in silent:
             self._by_name.pop(one.instance)
@@ -127,48 +129,48 @@
                 self._lost[one.instance] = now
         return silent
 
-    def settled(self, now: float) -> bool:
+    def no_recent_losses(self, now: float) -> bool:
         """Tell whether every instance that was lost lately is back."""
         return all(now - at > SETTLE_TIME for at in self._lost.values())
 
-    def workers(self, now: float) -> tuple[str, ...]:
+    def working_runs(self, now: float) -> tuple[str, ...]:
         """Name the runs of living instances that take work on."""
-        return tuple(one.run for one in self.fresh(now) if not one.leaving)
+        return tuple(one.run for one in self.alive(now) if not one.leaving)
 
-    def find(self, run: str) -> Peer | None:
+    def find_run(self, run: str) -> Peer | None:
         """Return a living instance by the name of its run."""
         return next(
             (one for one in self._by_name.values() if one.run == run), None
         )
 
-    def fresh(self, now: float) -> list[Peer]:
+    def alive(self, now: float) -> list[Peer]:
         """List the instances that were heard of lately."""
-        silence = far_silence(len(self._by_name) - len(self.near()))
+        silence = remote_silence_timeout(len(self._by_name) - len(self.near()))
         return [
             one
             for one in self._by_name.values()
-            if one.fresh(now, silence)
-            and (one.zone != self._zone or one.fresh(now))
+            if one.is_alive(now, silence)
+            and (one.zone != self._zone or one.is_alive(now))
         ]
 
     def near(self) -> list[Peer]:
         """List the instances of the own zone."""
         return [one for one in self._by_name.values() if one.zone == self._zone]
 
-    def is_speaker(self, now: float) -> bool:
+    def is_aggregator(self, now: float) -> bool:
         """Tell whether this instance adds its zone's loads up for others.
 
         The first by name does; whether it hears the store is no matter.
         """
-        alive = [one for one in self.near() if one.fresh(now)]
+        alive = [one for one in self.near() if one.is_alive(now)]
         return all(
             one.leaving or one.instance > self._instance for one in alive
         )
 
-    def far_speakers(self, now: float) -> list[Peer]:
+    def remote_aggregators(self, now: float) -> list[Peer]:
         """List the first instances of each other zone, by name."""
         zones: dict[str, list[Peer]] = {}
-        for peer in sorted(self.fresh(now), key=lambda one: one.instance):
+        for peer in sorted(self.alive(now), key=lambda one: one.instance):
             if peer.zone != self._zone and not peer.leaving:
                 zones.setdefault(peer.zone, []).append(peer)
         return list(chain(*(found[:SPEAKERS] for found in zones.values())))
--- a/gentiantrestle/gateway/placement.py
+++ b/gentiantrestle/gateway/placement.py
@@ -68,7 +68,7 @@
 
     def free(self, upstream: Upstream, now: float) -> int:
         """Return how many slots of an upstream are free."""
-        return upstream.slots - self._board.of(upstream.id, now).total
+        return upstream.slots - self._board.total_load(upstream.id, now).total
 
     def choose(
         self,
@@ -113,14 +113,14 @@
         return usable or every
 
     def _may_overbook(self, upstream: Upstream, now: float) -> bool:
-        load = self._board.of(upstream.id, now)
+        load = self._board.total_load(upstream.id, now)
         over = load.total - upstream.slots
         return over < min(OVERBOOKING, load.batch)
 
     def _cost(self, upstream: Upstream, now: float) -> float:
-        load = self._board.of(upstream.id, now).total
+        load = self._board.total_load(upstream.id, now).total
         share = load / max(1, upstream.slots)
-        own = self._board.own.get(upstream.id)
+        own = self._board.own_loads.get(upstream.id)
         own_share = own.total * SLOT_WEIGHT if own else 0
         spread = self._chance() * SPREAD
         distance = self._site.distance_cost(upstream.zone)
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from gentiantrestle import events
-from gentiantrestle.gateway.follow import LIST_ANEW, Sink
+from gentiantrestle.gateway.follower import LIST_ANEW, StoreHandlers
 from gentiantrestle.gateway.ports import ObjectStore, Stored
 from gentiantrestle.store.client import (
     StoreUnavailableError,
@@ -17,7 +17,7 @@
 RETRY_PAUSE = 0.5  # seconds
 
 
-class Retirement:
+class RetirementResponder:
     """Marks what is to be emptied as empty."""
 
     def __init__(
@@ -34,9 +34,9 @@
         self._completed = completed
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    def sink(self) -> Sink:
+    def handlers(self) -> StoreHandlers:
         """Return what a follower of the requests does."""
-        return Sink(self._take, self._take, _nothing, _list_all)
+        return StoreHandlers(self._take, self._take, _nothing, _list_all)
 
     def _take(self, found: Iterable[Stored], revision: int) -> None:
         for stored in found:
--- a/gentiantrestle/gateway/settling.py
+++ b/gentiantrestle/gateway/retrying_store.py
@@ -33,7 +33,7 @@
         left = started + SETTLE_TIME - now()
 
 
-class SettlingStore:
+class RetryingStore:
     """An object store whose writes are tried again until they are settled."""
 
     def __init__(self, store: ObjectStore, now: Callable[[], float]) -> None:
--- a/gentiantrestle/gateway/roster.py
+++ b/gentiantrestle/gateway/roster.py
@@ -60,7 +60,7 @@
         if now < self.away_until:
             self._missing[upstream_id] = Missing(upstream, self.away_until)
 
-    def of_service(self, service: str, now: float) -> list[Upstream]:
+    def usable_upstreams(self, service: str, now: float) -> list[Upstream]:
         """List the upstreams of a service that may get new work."""
         self._expire(now)
         found = [
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -12,17 +12,22 @@
 from gentiantrestle.gateway.batch.reader import ResultReader
 from gentiantrestle.gateway.batch.records import JOB_KIND
 from gentiantrestle.gateway.callers import Callers
-from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.entry import Entry
-from gentiantrestle.gateway.follow import Follower, Gate, Sink, Subject
+from gentiantrestle.gateway.fleet_state import FleetState
+from gentiantrestle.gateway.follower import (
+    Follower,
+    StoreHandlers,
+    WatchGate,
+    WatchSpec,
+)
 from gentiantrestle.gateway.forward import Forwarder, Means
+from gentiantrestle.gateway.gossip_messages import Identity
 from gentiantrestle.gateway.measures import Measures
-from gentiantrestle.gateway.peering import Peering, Work
+from gentiantrestle.gateway.peering import Peering, PeeringParts
 from gentiantrestle.gateway.peers import PeerList, run_name
 from gentiantrestle.gateway.ports import Adapter, Stored
-from gentiantrestle.gateway.pulses import Identity
-from gentiantrestle.gateway.state import State
-from gentiantrestle.gateway.watching import WatchDuty
+from gentiantrestle.gateway.state_copier import StateCopier
+from gentiantrestle.gateway.zone_watcher import WatcherElection
 from gentiantrestle.supervisor import Child, Supervisor
 
 # Changes that come within this time are read with one call; the bound for
@@ -54,7 +59,7 @@
             plan.site.zone,
             plan.peer_port,
         )
-        self._state = State(
+        self._state = FleetState(
             adapter.documents, adapter.kinds.config_name, self._clock.now
         )
         self._state.on_change = self._wake
@@ -67,8 +72,10 @@
         self._peers = PeerList(
             plan.instance, plan.host, plan.site.zone, plan.seeds
         )
-        self._duty = WatchDuty(plan.instance, plan.site.zone, self._clock.now())
-        self._gate = Gate()
+        self._duty = WatcherElection(
+            plan.instance, plan.site.zone, self._clock.now()
+        )
+        self._gate = WatchGate()
         self._followers = dict(self._build_followers())
         self._peering = self._build_peering()
         self.measures = self._build_measures()
@@ -114,18 +121,21 @@
 
     def _build_followers(self) -> Iterable[tuple[str, Follower]]:
         kinds = self._adapter.kinds
-        config = self._state.config_sink()
-        upstreams = self._state.upstream_sink()
-        jobs = Sink(
+        config = self._state.config_handlers()
+        upstreams = self._state.upstream_handlers()
+        jobs = StoreHandlers(
             self._take_jobs,
             self._take_jobs,
             _pass,
             lambda: self._parts.index.revision,
         )
         sinks = (
-            (Subject(kinds.config, CONFIG_REST, at_start=True), config),
-            (Subject(kinds.upstreams, UPSTREAM_REST, at_start=True), upstreams),
-            (Subject(JOB_KIND, JOB_REST), jobs),
+            (WatchSpec(kinds.config, CONFIG_REST, read_at_start=True), config),
+            (
+                WatchSpec(kinds.upstreams, UPSTREAM_REST, read_at_start=True),
+                upstreams,
+            ),
+            (WatchSpec(JOB_KIND, JOB_REST), jobs),
         )
         for subject, sink in sinks:
             yield (
@@ -141,13 +151,13 @@
 
     def _build_peering(self) -> Peering:
         peers = self._peers
-        self._runner.alive = lambda: peers.workers(self._clock.now())
+        self._runner.alive = lambda: peers.working_runs(self._clock.now())
         reader = ResultReader(
             self._parts.job_store, self._runner, peers, self._clock.now
         )
         self._reader = reader
-        work = Work(
-            Copies(self._state, self._parts.job_store, self._clock.now),
+        work = PeeringParts(
+            StateCopier(self._state, self._parts.job_store, self._clock.now),
             self._parts.board,
             self._admission,
             self._parts.index,
@@ -157,7 +167,7 @@
         peering = Peering(
             self._identity, peers, work, self._is_connected, self._clock.now
         )
-        peering.on_round = self._decide_duty
+        peering.before_sync = self._decide_duty
         return peering
 
     def _is_connected(self) -> bool:
@@ -168,7 +178,7 @@
         """Watch the store, or leave it to another instance of the zone."""
         now = self._clock.now()
         duty = self._duty.decide(
-            self._peers.fresh(now), now, connected=self._is_connected()
+            self._peers.alive(now), now, connected=self._is_connected()
         )
         if duty == self._gate.is_set():
             return
@@ -184,7 +194,7 @@
             self._admission, self._parts.placement, dialect, self._clock.now
         )
         api = JobApi(self._parts, self._runner, self._reader, self._run_name)
-        api.on_end = self._peering.note_ended
+        api.on_end = self._peering.announce_ended_job
         entry = Entry(
             self._state.router, Forwarder(means), api, dialect, self._clock
         )
@@ -213,7 +223,7 @@
         return self._admission.waiting
 
     def _tell_version(self) -> int:
-        return self._state.version
+        return self._state.config_version
 
     def _tell_store(self) -> int:
         return int(self._is_connected())
--- a/gentiantrestle/gateway/copies.py
+++ b/gentiantrestle/gateway/state_copier.py
@@ -5,20 +5,20 @@
 import msgspec
 
 from gentiantrestle.gateway.batch.job_store import JobStore
+from gentiantrestle.gateway.fleet_state import FleetState
 from gentiantrestle.gateway.ports import Stored
-from gentiantrestle.gateway.state import State
-from gentiantrestle.gateway.watching import Known
+from gentiantrestle.gateway.zone_watcher import Revisions
 from gentiantrestle.wire.peer import ttypes
 
 MS_PER_S = 1000
 
 
-class Copies:
+class StateCopier:
     """Gives others what they lack, and takes in what they give."""
 
     def __init__(
         self,
-        state: State,
+        state: FleetState,
         job_store: JobStore,
         now: Callable[[], float],
     ) -> None:
@@ -28,13 +28,13 @@
         self._now = now
 
     @property
-    def known(self) -> Known:
+    def known(self) -> Revisions:
         """How new the knowledge here is."""
-        return Known(
-            self._state.version,
+        return Revisions(
+            self._state.config_version,
             self._state.revision,
             self._job_store.index.revision,
-            self._state.upstreams_mark,
+            self._state.upstreams_fingerprint,
         )
 
     def request(self) -> ttypes.CopyRequest:
@@ -52,7 +52,10 @@
             jobs=list(map(_pack, self._newer_jobs(asked.jobs_revision))),
             lapse_left=int(self._state.lapse_left * MS_PER_S),
         )
-        if self._state.config and self._state.version > asked.config_version:
+        if (
+            self._state.config
+            and self._state.config_version > asked.config_version
+        ):
             copy.config = _pack(self._state.config)
         if self._state.revision > asked.upstreams_revision:
             copy.upstreams = list(map(_pack, self._state.upstreams.values()))
--- a/gentiantrestle/gateway/watching.py
+++ b/gentiantrestle/gateway/zone_watcher.py
@@ -27,16 +27,16 @@
 NEVER = float('inf')
 
 
-class Known(NamedTuple):
+class Revisions(NamedTuple):
     """How new this instance's knowledge is; revisions are the store's."""
 
     config_version: int
     upstreams_revision: int
     jobs_revision: int
-    upstreams_mark: int = 0
+    upstreams_fingerprint: int = 0
 
 
-class WatchDuty:
+class WatcherElection:
     """Whether this instance watches the store."""
 
     def __init__(self, instance: str, zone: str, began: float) -> None:
@@ -63,7 +63,7 @@
             for one in peers
             if one.zone == self._zone
             and not one.leaving
-            and now - one.heard < WATCHER_SILENCE
+            and now - one.last_heard < WATCHER_SILENCE
         ]
         rivals = [one for one in near if one.store_reached]
         if self.held and connected:
@@ -100,7 +100,7 @@
         return now - self._since
 
 
-class CopyRule:
+class CopySourceSelector:
     """From whom this instance copies what is newer than its own."""
 
     def __init__(self, zone: str, chance: Callable[[], float]) -> None:
@@ -112,7 +112,7 @@
 
     def choose(
         self,
-        known: Known,
+        known: Revisions,
         peers: Iterable[Peer],
         now: float,
     ) -> Peer | None:
@@ -136,8 +136,8 @@
         return found[int(self._chance() * len(found))]
 
 
-def _is_ahead(peer: Peer, known: Known) -> bool:
+def _is_ahead(peer: Peer, known: Revisions) -> bool:
     if peer.config_version > known.config_version:
         return True
     newer = peer.upstreams_revision > known.upstreams_revision
-    return newer and peer.upstreams_mark != known.upstreams_mark
+    return newer and peer.upstreams_fingerprint != known.upstreams_fingerprint
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -9,11 +9,11 @@
 from gentiantrestle import events
 from gentiantrestle.config import Settings
 from gentiantrestle.gateway.assembly import Plan
-from gentiantrestle.gateway.follow import Follower, Gate, Subject
+from gentiantrestle.gateway.follower import Follower, WatchGate, WatchSpec
 from gentiantrestle.gateway.listener import listen
 from gentiantrestle.gateway.placement import Site
 from gentiantrestle.gateway.ports import Adapter, Kinds
-from gentiantrestle.gateway.retirement import Retirement
+from gentiantrestle.gateway.retirement import RetirementResponder
 from gentiantrestle.gateway.service import Gateway
 from gentiantrestle.models import Address
 from gentiantrestle.platform.dialect import PlatformDialect
@@ -105,15 +105,15 @@
 async def keep(node: NodeSettings, cfg: Settings) -> int:
     """Hold nothing, and say so when the instance is to be emptied."""
     store = ObjectClient(node.store)
-    retirement = Retirement(
+    retirement = RetirementResponder(
         store, RETIREMENT_KIND, node.instance, dict(RETIRED)
     )
     follower = Follower(
         store,
-        Subject(RETIREMENT_KIND, RETIREMENT_REST, RETIREMENT_WAIT),
-        retirement.sink(),
+        WatchSpec(RETIREMENT_KIND, RETIREMENT_REST, RETIREMENT_WAIT),
+        retirement.handlers(),
         random.Random(time.time_ns()),
-        Gate.always_open(),
+        WatchGate.always_open(),
     )
     children = (Child('retirement', follower.run),)
     root = asyncio.create_task(Supervisor(children, time.monotonic).run())
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -26,9 +26,9 @@
     startable,
     yield_rank,
 )
-from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
+from gentiantrestle.gateway.loads import BatchBacklog, LoadBoard, LoadReport
 from gentiantrestle.gateway.model import ItemResult
-from gentiantrestle.gateway.peers import SILENCE
+from gentiantrestle.gateway.peers import SILENCE_TIMEOUT
 from gentiantrestle.gateway.ports import Stored
 from gentiantrestle.store.client import (
     StoreUnavailableError,
@@ -171,9 +171,9 @@
     index = JobIndex()
     entry = index.put(JobRecord(job(), Stored('job1', 1, {})))
     assert runs_here(entry, 'one/1', [], 0)
-    assert not runs_here(entry, 'two/1', [], SILENCE / 2)
-    assert runs_here(entry, 'two/1', [], SILENCE)
-    assert not runs_here(entry, 'two/1', ['one/1'], SILENCE)
+    assert not runs_here(entry, 'two/1', [], SILENCE_TIMEOUT / 2)
+    assert runs_here(entry, 'two/1', [], SILENCE_TIMEOUT)
+    assert not runs_here(entry, 'two/1', ['one/1'], SILENCE_TIMEOUT)
 
 
 def test_the_shortest_item_that_can_be_in_time_goes_first() -> None:
@@ -198,9 +198,9 @@
 
 def test_instances_don_t_take_the_same_free_slot() -> None:
     board = LoadBoard()
-    mine = BatchWaiting(3, 4.0)
-    board.hear('tighter', Told(0, {}, 0, BatchWaiting(2, 1.0)))
-    board.hear('later', Told(0, {}, 0, BatchWaiting(9, -1.0)))
+    mine = BatchBacklog(3, 4.0)
+    board.set_peer_report('tighter', LoadReport(0, {}, 0, BatchBacklog(2, 1.0)))
+    board.set_peer_report('later', LoadReport(0, {}, 0, BatchBacklog(9, -1.0)))
     ahead = board.batch_ahead(mine, 0)
     assert ahead == 2
     assert startable(free=2, slots=8, ahead=ahead) == 0
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -2,22 +2,22 @@
 
 import pytest
 
-from gentiantrestle.gateway.gossip import MAX_GAP, Rhythm
+from gentiantrestle.gateway.gossip import MAX_INTERVAL, SendSchedule
 from gentiantrestle.gateway.loads import (
     STALE_AFTER,
-    BatchWaiting,
+    BatchBacklog,
     Load,
     LoadBoard,
-    Told,
+    LoadReport,
 )
 from gentiantrestle.gateway.model import Share
 from gentiantrestle.gateway.peers import (
-    MIN_GAP,
-    SILENCE,
+    MIN_INTERVAL,
+    SILENCE_TIMEOUT,
     Peer,
     PeerList,
-    far_gap,
-    far_silence,
+    remote_interval,
+    remote_silence_timeout,
 )
 from gentiantrestle.gateway.placement import Placement, Site
 from gentiantrestle.gateway.queueing import (
@@ -80,8 +80,10 @@
     roster.note_outage(10)
     roster.remove('u1', 10.5)
     back = 10 + LAPSE_GRACE
-    assert [one.id for one in roster.of_service(ENGINES, back - 0.1)] == ['u1']
-    assert roster.of_service(ENGINES, back + 0.1) == []
+    assert [one.id for one in roster.usable_upstreams(ENGINES, back - 0.1)] == [
+        'u1'
+    ]
+    assert roster.usable_upstreams(ENGINES, back + 0.1) == []
 
 
 @pytest.mark.parametrize('draining', [True, False])
@@ -92,7 +94,7 @@
         roster.put(upstream('u1', draining=True))
     else:
         roster.remove('u1', 0)
-    assert roster.of_service(ENGINES, 0) == []
+    assert roster.usable_upstreams(ENGINES, 0) == []
 
 
 def _placement() -> tuple[Placement, LoadBoard]:
@@ -113,7 +115,7 @@
 def test_what_peers_told_counts_until_it_is_stale() -> None:
     placement, board = _placement()
     one = upstream('u1')
-    board.hear('peer', Told(0, {'u1': Load(8, 0)}, 0))
+    board.set_peer_report('peer', LoadReport(0, {'u1': Load(8, 0)}, 0))
     assert placement.choose([one], STALE_AFTER / 2) is None
     assert placement.choose([one], STALE_AFTER + 0.1) == one
 
@@ -204,45 +206,45 @@
 
 def test_silence_ends_a_run_and_a_restart_is_another_run() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    assert peers.hear(_peer('1'))
-    assert not peers.hear(_peer('1', number=1))
-    assert peers.workers(0) == ('1/1',)
-    assert peers.hear(_peer('1', incarnation=2, number=1))
-    assert peers.workers(0) == ('1/2',)
-    assert peers.sweep(SILENCE + 1)
-    assert peers.workers(SILENCE + 1) == ()
+    assert peers.update(_peer('1'))
+    assert not peers.update(_peer('1', sequence=1))
+    assert peers.working_runs(0) == ('1/1',)
+    assert peers.update(_peer('1', incarnation=2, sequence=1))
+    assert peers.working_runs(0) == ('1/2',)
+    assert peers.remove_silent(SILENCE_TIMEOUT + 1)
+    assert peers.working_runs(SILENCE_TIMEOUT + 1) == ()
 
 
 def test_a_lost_instance_leaves_doubt_until_it_is_back() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.hear(_peer('1'))
-    peers.sweep(SILENCE + 1)
-    assert not peers.settled(10)
-    peers.hear(_peer('1', incarnation=2, heard=11))
-    assert peers.settled(11)
+    peers.update(_peer('1'))
+    peers.remove_silent(SILENCE_TIMEOUT + 1)
+    assert not peers.no_recent_losses(10)
+    peers.update(_peer('1', incarnation=2, last_heard=11))
+    assert peers.no_recent_losses(11)
 
 
 def test_one_that_leaves_on_purpose_leaves_no_doubt() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.hear(_peer('1', leaving=True))
-    assert peers.workers(0) == ()
-    peers.sweep(SILENCE + 1)
-    assert peers.settled(10)
+    peers.update(_peer('1', leaving=True))
+    assert peers.working_runs(0) == ()
+    peers.remove_silent(SILENCE_TIMEOUT + 1)
+    assert peers.no_recent_losses(10)
 
 
 def test_news_goes_out_when_it_is_due_and_is_repeated() -> None:
-    rhythm = Rhythm()
-    gap = MIN_GAP
+    rhythm = SendSchedule()
+    gap = MIN_INTERVAL
     assert rhythm.is_due('a', gap, 0)
     assert not rhythm.is_due('b', gap, 0.01)
     assert rhythm.is_due('b', gap, 0.05)
     assert not rhythm.is_due('b', gap, 0.2)
-    assert rhythm.is_due('b', gap, 0.05 + MAX_GAP)
+    assert rhythm.is_due('b', gap, 0.05 + MAX_INTERVAL)
 
 
 def test_many_others_are_told_less_often() -> None:
-    rhythm = Rhythm()
-    gap = far_gap(53)
+    rhythm = SendSchedule()
+    gap = remote_interval(53)
     assert gap > 1
     rhythm.is_due('a', gap, 0)
     assert not rhythm.is_due('b', gap, 0.9)
@@ -250,37 +252,41 @@
 
 
 def test_a_small_fleet_is_told_as_often_as_a_zone() -> None:
-    assert far_gap(6) == MIN_GAP
+    assert remote_interval(6) == MIN_INTERVAL
 
 
 def test_rare_news_of_other_zones_is_no_silence() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.hear(_peer('near'))
+    peers.update(_peer('near'))
     for number in range(53):
-        peers.hear(_peer(f'far{number}', zone='b1'))
-    assert [one.instance for one in peers.sweep(SILENCE + 0.1)] == ['near']
-    assert len(peers.sweep(far_silence(53) + 0.1)) == 53
+        peers.update(_peer(f'far{number}', zone='b1'))
+    assert [
+        one.instance for one in peers.remove_silent(SILENCE_TIMEOUT + 0.1)
+    ] == ['near']
+    assert len(peers.remove_silent(remote_silence_timeout(53) + 0.1)) == 53
 
 
 def test_a_zone_has_a_speaker_whether_or_not_it_hears_the_store() -> None:
     peers = PeerList('m', '10.0.0.9', 'a1', ())
     for name, zone in (('n', 'a1'), ('x', 'b1'), ('y', 'b1'), ('z', 'b1')):
-        peers.hear(_peer(name, zone=zone, store_reached=False))
-    assert peers.is_speaker(1)
-    assert [one.instance for one in peers.far_speakers(1)] == ['x', 'y']
-    peers.hear(_peer('a', heard=1))
-    assert not peers.is_speaker(1)
-    assert peers.is_speaker(1 + SILENCE)
-    peers.hear(_peer('a', number=2, heard=1, leaving=True))
-    assert peers.is_speaker(1)
+        peers.update(_peer(name, zone=zone, store_reached=False))
+    assert peers.is_aggregator(1)
+    assert [one.instance for one in peers.remote_aggregators(1)] == ['x', 'y']
+    peers.update(_peer('a', last_heard=1))
+    assert not peers.is_aggregator(1)
+    assert peers.is_aggregator(1 + SILENCE_TIMEOUT)
+    peers.update(_peer('a', sequence=2, last_heard=1, leaving=True))
+    assert peers.is_aggregator(1)
 
 
 def test_zones_are_added_up_without_counting_twice() -> None:
     board = LoadBoard()
-    board.hear('a', Told(0, {'u1': Load(1, 2)}, 3, BatchWaiting(4, 2.0)))
-    board.hear('b', Told(0, {'u1': Load(1), 'u2': Load(5)}, 1))
-    board.hear('old', Told(-9, {'u1': Load(7)}, 9))
-    told = board.add_up(['a', 'b', 'old', 'unknown'], 0.5)
+    board.set_peer_report(
+        'a', LoadReport(0, {'u1': Load(1, 2)}, 3, BatchBacklog(4, 2.0))
+    )
+    board.set_peer_report('b', LoadReport(0, {'u1': Load(1), 'u2': Load(5)}, 1))
+    board.set_peer_report('old', LoadReport(-9, {'u1': Load(7)}, 9))
+    told = board.combine_peers(['a', 'b', 'old', 'unknown'], 0.5)
     assert told.loads == {'u1': Load(2, 2), 'u2': Load(5)}
     assert told.waiting == 4
-    assert told.batch == BatchWaiting(4, 2.0)
+    assert told.batch_backlog == BatchBacklog(4, 2.0)
--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -4,7 +4,12 @@
 import random
 from collections.abc import Iterable
 
-from gentiantrestle.gateway.follow import Follower, Gate, Sink, Subject
+from gentiantrestle.gateway.follower import (
+    Follower,
+    StoreHandlers,
+    WatchGate,
+    WatchSpec,
+)
 from gentiantrestle.gateway.ports import Stored
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
@@ -20,8 +25,10 @@
         self.names: set[str] = set()
         self.revision = 0
 
-    def sink(self) -> Sink:
-        return Sink(self._take, self._take, lambda: None, lambda: self.revision)
+    def sink(self) -> StoreHandlers:
+        return StoreHandlers(
+            self._take, self._take, lambda: None, lambda: self.revision
+        )
 
     def _take(self, found: Iterable[Stored], revision: int) -> None:
         self.names |= {one.name for one in found}
@@ -38,10 +45,10 @@
         copy = _Copy()
         follower = Follower(
             store,
-            Subject(KIND, 0, at_start=at_start),
+            WatchSpec(KIND, 0, read_at_start=at_start),
             copy.sink(),
             random.Random(1),
-            Gate(),
+            WatchGate(),
         )
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(down)
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -11,7 +11,7 @@
 from gentiantrestle.errors import RefusedError
 from gentiantrestle.gateway.admission import Admission, Lease, Wanted
 from gentiantrestle.gateway.batch.scheduling import startable
-from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
+from gentiantrestle.gateway.loads import BatchBacklog, LoadBoard, LoadReport
 from gentiantrestle.gateway.placement import Placement, Site
 from gentiantrestle.gateway.roster import Roster
 from tests.gateway.samples import ENGINES, ZONES, call, route, upstream
@@ -93,10 +93,10 @@
     def _tell(self, teller: int) -> None:
         own = self._boards[teller]
         waiting = self.admissions[teller].waiting
-        told = Told(virtual_now(), dict(own.own), waiting)
+        told = LoadReport(virtual_now(), dict(own.own_loads), waiting)
         for hearer in self._boards:
             if hearer is not own:
-                hearer.hear(f'i{teller}', told)
+                hearer.set_peer_report(f'i{teller}', told)
 
     def _admission(
         self, board: LoadBoard, chance: Callable[[], float]
@@ -165,7 +165,7 @@
     """
     free = 4
     told = {
-        f'i{one}': Told(0, {}, 0, BatchWaiting(5, 1.0 + one))
+        f'i{one}': LoadReport(0, {}, 0, BatchBacklog(5, 1.0 + one))
         for one in range(INSTANCES)
     }
     started = 0
@@ -173,9 +173,9 @@
         board = LoadBoard()
         for other, said in told.items():
             if other != name:
-                board.hear(other, said)
-        ahead = board.batch_ahead(own.batch, 0) if ranked else 0
-        started += min(own.batch.count, startable(free, free, ahead))
+                board.set_peer_report(other, said)
+        ahead = board.batch_ahead(own.batch_backlog, 0) if ranked else 0
+        started += min(own.batch_backlog.count, startable(free, free, ahead))
     return started - free
 
 
--- a/tests/gateway/test_retirement.py
+++ b/tests/gateway/test_retirement.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gentiantrestle.gateway.ports import Stored
-from gentiantrestle.gateway.retirement import OWN_TIME, Retirement
+from gentiantrestle.gateway.retirement import OWN_TIME, RetirementResponder
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
 
@@ -18,7 +18,7 @@
         store = MemoryStore()
         store.write(KIND, Stored('s1', 0, {}))
         store.down = bool(down)
-        sink = Retirement(store, KIND, instance, DONE).sink()
+        sink = RetirementResponder(store, KIND, instance, DONE).handlers()
         sink.replace(store.kinds[KIND].values(), 1)
         seen: dict[float, object] = {}
         for at in (1.0, 4.0):
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gentiantrestle.gateway.ports import Stored
-from gentiantrestle.gateway.settling import SETTLE_TIME, SettlingStore
+from gentiantrestle.gateway.retrying_store import SETTLE_TIME, RetryingStore
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -62,7 +62,7 @@
     """Create an object; return the outcome and the time it took."""
 
     async def run() -> tuple[bool, float]:
-        new = await SettlingStore(store, virtual_now).create(KIND, 'one', 1)
+        new = await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return new, virtual_now()
 
     return play(run())
@@ -106,7 +106,7 @@
 
     async def run() -> bool:
         found = store.kinds[KIND]['one']
-        return await SettlingStore(store, virtual_now).put_status(
+        return await RetryingStore(store, virtual_now).put_status(
             KIND, found, 'done'
         )
 
@@ -119,7 +119,7 @@
 
     async def run() -> float:
         with pytest.raises(StoreUnsureError):
-            await SettlingStore(store, virtual_now).create(KIND, 'one', 1)
+            await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return virtual_now()
 
     assert play(run()) <= SETTLE_TIME
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -7,21 +7,21 @@
 from gentiantrestle.gateway.batch.index import JobIndex
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.records import job_to_content
-from gentiantrestle.gateway.copies import Copies
+from gentiantrestle.gateway.fleet_state import FleetState
 from gentiantrestle.gateway.peers import Peer
 from gentiantrestle.gateway.ports import Stored
 from gentiantrestle.gateway.roster import LAPSE_GRACE
-from gentiantrestle.gateway.state import State
-from gentiantrestle.gateway.watching import (
+from gentiantrestle.gateway.state_copier import StateCopier
+from gentiantrestle.gateway.zone_watcher import (
     JOBS_LAG,
     QUICK_RANKS,
     RANK_STEP,
     START_WAIT,
     URGENT_LAG,
     WATCHER_SILENCE,
-    CopyRule,
-    Known,
-    WatchDuty,
+    CopySourceSelector,
+    Revisions,
+    WatcherElection,
 )
 from gentiantrestle.platform.documents import StoreDocuments
 from gentiantrestle.wire.peer import ttypes
@@ -37,8 +37,8 @@
     return plain._replace(**changes)
 
 
-def _duty(instance: str = 'b') -> WatchDuty:
-    return WatchDuty(instance, ZONE, 0)
+def _duty(instance: str = 'b') -> WatcherElection:
+    return WatcherElection(instance, ZONE, 0)
 
 
 def test_nobody_watches_before_others_could_be_heard() -> None:
@@ -49,7 +49,7 @@
 
 def test_who_watches_already_goes_on() -> None:
     duty = _duty('a')
-    peers = [_peer('z', heard=LONG)]
+    peers = [_peer('z', last_heard=LONG)]
     assert not duty.decide(peers, LONG, connected=False)
 
 
@@ -62,7 +62,7 @@
 ) -> None:
     duty = _duty('b')
     assert duty.decide([], LONG, connected=False)
-    peers = [_peer(rival, heard=LONG)]
+    peers = [_peer(rival, last_heard=LONG)]
     assert duty.decide(peers, LONG, connected=connected) == held
 
 
@@ -70,12 +70,12 @@
     first, second = _duty('b'), _duty('c')
     gone = WATCHER_SILENCE + LONG
     for duty in (first, second):
-        watched = [_peer('a', heard=LONG)]
+        watched = [_peer('a', last_heard=LONG)]
         assert not duty.decide(watched, gone - 0.01, connected=False)
     near = [
-        _peer('a', heard=LONG),
-        _peer('b', heard=gone, store_reached=False),
-        _peer('c', heard=gone, store_reached=False),
+        _peer('a', last_heard=LONG),
+        _peer('b', last_heard=gone, store_reached=False),
+        _peer('c', last_heard=gone, store_reached=False),
     ]
     assert first.decide(near, gone, connected=False)
     assert not second.decide(near, gone, connected=False)
@@ -88,7 +88,9 @@
     trying = set()
     for step in range(40):
         now = START_WAIT + step / 10
-        peers = [_peer(one, heard=now, store_reached=False) for one in names]
+        peers = [
+            _peer(one, last_heard=now, store_reached=False) for one in names
+        ]
         for name, duty in zip(names, duties, strict=True):
             others = [one for one in peers if one.instance != name]
             if duty.decide(others, now, connected=False):
@@ -97,15 +99,15 @@
 
 
 def test_watchers_of_other_zones_leave_the_own_one_vacant() -> None:
-    peers = [_peer('a', heard=LONG, zone='b1')]
+    peers = [_peer('a', last_heard=LONG, zone='b1')]
     assert _duty().decide(peers, LONG, connected=False)
 
 
-KNOWN = Known(3, 5, 5)
+KNOWN = Revisions(3, 5, 5)
 
 
-def _rule() -> CopyRule:
-    return CopyRule(ZONE, lambda: 0)
+def _rule() -> CopySourceSelector:
+    return CopySourceSelector(ZONE, lambda: 0)
 
 
 @pytest.mark.parametrize(
@@ -115,11 +117,11 @@
 def test_news_is_copied_from_the_zones_watcher_at_once(
     news: dict[str, int],
 ) -> None:
-    watcher = _peer('a', upstreams_mark=1, **news)
-    other = _peer('c', store_reached=False, upstreams_mark=1, **news)
+    watcher = _peer('a', upstreams_fingerprint=1, **news)
+    other = _peer('c', store_reached=False, upstreams_fingerprint=1, **news)
     assert _rule().choose(KNOWN, [other, watcher], 0) == watcher
     assert _rule().choose(KNOWN, [other], 0) is None
-    assert _rule().choose(Known(4, 6, 6), [watcher], 0) is None
+    assert _rule().choose(Revisions(4, 6, 6), [watcher], 0) is None
 
 
 @pytest.mark.parametrize(
@@ -130,7 +132,7 @@
     news: dict[str, int], lag: float
 ) -> None:
     rule = _rule()
-    far = _peer('z', zone='b1', upstreams_mark=1, **news)
+    far = _peer('z', zone='b1', upstreams_fingerprint=1, **news)
     assert rule.choose(KNOWN, [far], 1) is None
     assert rule.choose(KNOWN, [far], 1 + lag) == far
     assert rule.choose(KNOWN, [_peer('z')], 2 + lag) is None
@@ -139,8 +141,8 @@
 
 def test_the_same_entries_are_not_copied_again() -> None:
     rule = _rule()
-    same = _peer('z', zone='b1', upstreams_revision=9, upstreams_mark=7)
-    known = KNOWN._replace(upstreams_mark=7)
+    same = _peer('z', zone='b1', upstreams_revision=9, upstreams_fingerprint=7)
+    known = KNOWN._replace(upstreams_fingerprint=7)
     for now in (0, URGENT_LAG, 2 * URGENT_LAG):
         assert rule.choose(known, [same], now) is None
 
@@ -154,10 +156,10 @@
         assert rule.choose(known, [far], step * JOBS_LAG / 4) is None
 
 
-def _copies(now: float = 0) -> tuple[Copies, State, JobStore]:
-    state = State(StoreDocuments(), 'main', lambda: now)
+def _copies(now: float = 0) -> tuple[StateCopier, FleetState, JobStore]:
+    state = FleetState(StoreDocuments(), 'main', lambda: now)
     store = JobStore(MemoryStore(), JobIndex(), random.Random(1), lambda: now)
-    return Copies(state, store, lambda: now), state, store
+    return StateCopier(state, store, lambda: now), state, store
 
 
 def _server(name: str, revision: int) -> Stored:
@@ -183,7 +185,9 @@
     taker.take(giver.give(taker.request()))
     assert taker.known == giver.known
     assert taker.known[:3] == (0, 5, 8)
-    assert [one.id for one in taken.roster.of_service(ENGINES, 0)] == ['u1']
+    assert [one.id for one in taken.roster.usable_upstreams(ENGINES, 0)] == [
+        'u1'
+    ]
     assert set(jobs.index.entries) == {'job6', 'job8'}
     again = giver.give(ttypes.CopyRequest(0, 5, 6))
     assert again.upstreams is None
@@ -208,6 +212,6 @@
     state.roster.note_outage(0)
     state.replace_upstreams([], 6)
     taker.take(giver.give(taker.request()))
-    found = taken.roster.of_service(ENGINES, LAPSE_GRACE / 2)
+    found = taken.roster.usable_upstreams(ENGINES, LAPSE_GRACE / 2)
     assert [one.id for one in found] == ['u1']
-    assert not taken.roster.of_service(ENGINES, LAPSE_GRACE + 1)
+    assert not taken.roster.usable_upstreams(ENGINES, LAPSE_GRACE + 1)
