--- a/gentiantrestle/daemon/batch/board.py
+++ b/gentiantrestle/daemon/batch/board.py
@@ -15,7 +15,7 @@
 from gentiantrestle.daemon.batch.schedule import ChunkBook, ChunkKey, Seen
 from gentiantrestle.daemon.configuration.mirror import Copied
 from gentiantrestle.daemon.configuration.service import Configuration
-from gentiantrestle.daemon.upstreams.service import Fleet
+from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.models import DeploymentDoc
 from gentiantrestle.store.client import StoreClient
 
@@ -28,7 +28,7 @@
         ctx: Context,
         store: StoreClient,
         configuration: Configuration,
-        fleet: Fleet,
+        fleet: UpstreamRegistry,
     ) -> None:
         """Start without any chunk read."""
         self._ctx = ctx
--- a/gentiantrestle/daemon/batch/gate.py
+++ b/gentiantrestle/daemon/batch/gate.py
@@ -7,7 +7,7 @@
 
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.batch.slots import Allowance
-from gentiantrestle.daemon.upstreams.service import Fleet, Upstream
+from gentiantrestle.daemon.upstreams.service import Upstream, UpstreamRegistry
 from gentiantrestle.models import DeploymentDoc
 
 
@@ -52,7 +52,7 @@
 class Gate:
     """The slots that this instance owns for batch work."""
 
-    def __init__(self, ctx: Context, fleet: Fleet) -> None:
+    def __init__(self, ctx: Context, fleet: UpstreamRegistry) -> None:
         """Heed each change of online load."""
         self._ctx = ctx
         self._fleet = fleet
@@ -60,7 +60,7 @@
         self._slots: dict[str, list[Slot]] = {}
         self._waiting: list[Waiter] = []
         self._arrivals = count()
-        fleet.loads.listen(self.enforce)
+        fleet.loads.add_listener(self.enforce)
 
     async def take(
         self,
@@ -171,4 +171,4 @@
     def _cap(self, name: str, now: float) -> int:
         slots = self._fleet.settings(name)['slots']
         allowance = self._allowances.setdefault(name, Allowance(slots))
-        return allowance.update(self._fleet.pressure(name, now), now)
+        return allowance.update(self._fleet.online_pressure(name, now), now)
--- a/gentiantrestle/daemon/batch/intake.py
+++ b/gentiantrestle/daemon/batch/intake.py
@@ -10,7 +10,7 @@
 from gentiantrestle.daemon.upstreams.adapter import (
     CHAT,
     COMPLETIONS,
-    prompt_of,
+    prompt_text,
 )
 from gentiantrestle.errors import (
     BAD_REQUEST,
@@ -151,7 +151,7 @@
     def _check_prompt(self, body: dict[str, Any]) -> None:
         limit = self._fleet['endpoints'][body['model']]['max_prompt']
         try:
-            prompt = prompt_of(body)
+            prompt = prompt_text(body)
         except (AttributeError, TypeError):
             raise self._fault('messages are not objects', self._line) from None
         if not prompt:
--- a/gentiantrestle/daemon/batch/item.py
+++ b/gentiantrestle/daemon/batch/item.py
@@ -16,13 +16,13 @@
     ResultLine,
 )
 from gentiantrestle.daemon.upstreams.adapter import (
-    StreamReader,
+    TokenStreamReader,
     build_call,
-    leaving_mark,
-    stream_body,
-    whole_answer,
+    build_completion,
+    build_stream_body,
+    leaving_incarnation,
 )
-from gentiantrestle.daemon.upstreams.service import Fleet
+from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.errors import (
     Refusal,
 )
@@ -61,7 +61,7 @@
     ctx: Context
     store: StoreClient
     gate: Gate
-    fleet: Fleet
+    fleet: UpstreamRegistry
 
 
 class Held(NamedTuple):
@@ -84,7 +84,7 @@
         self._held = held
         self._item = held.items[position]
         self._texts: list[str] = []
-        self._reader = StreamReader()
+        self._reader = TokenStreamReader()
 
     async def attempt(self, slot: Slot) -> Ended:
         """Try the item once, going on after the tokens that are known."""
@@ -109,7 +109,7 @@
             custom_id=self._item['custom_id'],
             response={
                 'status_code': 200,
-                'body': whole_answer(
+                'body': build_completion(
                     self._item['url'],
                     self._texts,
                     self._item['body']['model'],
@@ -134,7 +134,7 @@
     async def _stream(self, slot: Slot) -> Ended:
         call = build_call(
             self._item['url'],
-            stream_body(self._item['body'], len(self._texts)),
+            build_stream_body(self._item['body'], len(self._texts)),
             uuid4().hex,
         )
         pool = slot.upstream.pool
@@ -146,20 +146,20 @@
             await self._read(answer)
         finally:
             pool.release(answer)
-        if not self._reader.is_whole:
+        if not self._reader.is_complete:
             raise LostError('the stream ended early')
-        slot.upstream.health.succeed()
+        slot.upstream.health.record_success()
         return Ended(Outcome.WHOLE)
 
     async def _read(self, answer: Answer) -> None:
-        self._reader = StreamReader()
+        self._reader = TokenStreamReader()
         stall = self._tools.ctx.cfg.stall_timeout
         async with aclosing(answer.parts(stall)) as parts:
             async for part in parts:
                 self._texts.extend(self._reader.feed(part))
 
     async def _refused(self, slot: Slot, answer: Answer) -> Ended:
-        mark = leaving_mark(answer)
+        mark = leaving_incarnation(answer)
         text = (await answer.read())[:MAX_REASON].decode(errors='replace')
         if mark is not None:
             self._tools.fleet.mark_leaving(slot.upstream.name, mark)
@@ -171,7 +171,7 @@
 
     def _note_failure(self, slot: Slot, exc: BaseException) -> None:
         ctx = self._tools.ctx
-        slot.upstream.health.fail(ctx.now(), ctx.random.random())
+        slot.upstream.health.record_failure(ctx.now(), ctx.random.random())
         events.emit(
             events.UPSTREAM_FAILED,
             upstream=slot.upstream.name,
--- a/gentiantrestle/daemon/batch/service.py
+++ b/gentiantrestle/daemon/batch/service.py
@@ -36,7 +36,7 @@
 from gentiantrestle.daemon.configuration.mirror import Copied
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.membership.service import Membership
-from gentiantrestle.daemon.upstreams.service import Fleet
+from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.errors import Refusal
 from gentiantrestle.store.client import (
     ABSENT,
@@ -61,7 +61,7 @@
         store: StoreClient,
         configuration: Configuration,
         membership: Membership,
-        fleet: Fleet,
+        fleet: UpstreamRegistry,
     ) -> None:
         """Hold no chunk at first."""
         self._ctx = ctx
--- a/gentiantrestle/daemon/batch/slots.py
+++ b/gentiantrestle/daemon/batch/slots.py
@@ -1,6 +1,6 @@
 """How many batch items an upstream may have; decisions only, no I/O."""
 
-from gentiantrestle.daemon.upstreams.loads import Pressure
+from gentiantrestle.daemon.upstreams.loads import OnlinePressure
 
 MIXED_SHARE = 0.125
 CALM_BEFORE_GROWTH = 0.2  # seconds
@@ -21,7 +21,7 @@
         self.cap = 0
         self._calm_since: float | None = None
 
-    def update(self, pressure: Pressure, now: float) -> int:
+    def update(self, pressure: OnlinePressure, now: float) -> int:
         """Return the cap that holds from now on."""
         target = target_cap(self._slots, pressure)
         if target <= self.cap:
@@ -37,14 +37,14 @@
         return self.cap
 
 
-def target_cap(slots: int, pressure: Pressure) -> int:
+def target_cap(slots: int, pressure: OnlinePressure) -> int:
     """Return what online leaves; silence reads as busy.
 
     Every running item slows the others of its engine, so an engine that
     serves online keeps a small share of batch, and only idle ones are full.
     """
-    if not pressure.online and not pressure.silent:
+    if not pressure.online and not pressure.uncertain_instances:
         return slots
-    feared = int(slots * BUSY_SHARE) * pressure.silent
+    feared = int(slots * BUSY_SHARE) * pressure.uncertain_instances
     left = slots - pressure.online - feared
     return max(0, min(left, int(slots * MIXED_SHARE)))
--- a/gentiantrestle/daemon/entry/bodies.py
+++ b/gentiantrestle/daemon/entry/bodies.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from gentiantrestle.daemon.online.attempt import Work
+from gentiantrestle.daemon.online.attempt import OnlineRequest
 from gentiantrestle.daemon.upstreams.adapter import (
     CHAT,
     expected_tokens,
-    prompt_of,
+    prompt_text,
 )
 from gentiantrestle.errors import (
     BAD_REQUEST,
@@ -30,7 +30,7 @@
     req: Request,
     raw: bytes,
     fleet: FleetDoc,
-) -> Work:
+) -> OnlineRequest:
     """Check a completion or chat request."""
     body = decode_object(raw)
     endpoint = find_endpoint(fleet, body.get('model'))
@@ -40,7 +40,7 @@
     streamed = bool(body.get('stream', False))
     name = body['model']
     body['model'] = deployment['model']
-    return Work(
+    return OnlineRequest(
         client=client,
         endpoint=name,
         deployment=deployment,
@@ -59,11 +59,11 @@
     raw: bytes,
     fleet: FleetDoc,
     fields: dict[str, str],
-) -> Work:
+) -> OnlineRequest:
     """Check a call of a plain service."""
     endpoint = find_endpoint(fleet, fields['endpoint'])
     safe = req.method in SAFE_METHODS
-    return Work(
+    return OnlineRequest(
         client=client,
         endpoint=fields['endpoint'],
         deployment=find_deployment(fleet, endpoint),
@@ -98,7 +98,7 @@
         _check_messages(body.get('messages'))
     elif not isinstance(body.get('prompt'), str):
         raise refuse(BAD_REQUEST, 'The field "prompt" is missing or no text')
-    prompt = prompt_of(body)
+    prompt = prompt_text(body)
     if not prompt:
         raise refuse(BAD_REQUEST, 'The prompt is empty')
     if len(prompt) > limit:
--- a/gentiantrestle/daemon/entry/callers.py
+++ b/gentiantrestle/daemon/entry/callers.py
@@ -5,7 +5,7 @@
 from gentiantrestle.daemon.entry.bodies import completion_work, service_work
 from gentiantrestle.daemon.entry.routes import ANYONE, CLIENT, route
 from gentiantrestle.daemon.entry.service import Entry, Visit
-from gentiantrestle.daemon.online.attempt import Work
+from gentiantrestle.daemon.online.attempt import OnlineRequest
 from gentiantrestle.errors import NO_UPSTREAM, refuse
 from gentiantrestle.http.messages import Response, answer_json
 
@@ -75,7 +75,7 @@
     return await _answer(entry, visit, work)
 
 
-async def _answer(entry: Entry, visit: Visit, work: Work) -> Response:
+async def _answer(entry: Entry, visit: Visit, work: OnlineRequest) -> Response:
     key = visit.req.headers.get(KEY_HEADER)
     return await entry.parts.online.answer(work, key)
 
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -11,9 +11,9 @@
 from gentiantrestle.daemon.entry import routes
 from gentiantrestle.daemon.entry.keys import Identity, identify, require_admin
 from gentiantrestle.daemon.membership.service import Membership
-from gentiantrestle.daemon.online.service import Online
+from gentiantrestle.daemon.online.service import OnlineService
 from gentiantrestle.daemon.report.service import Reporter
-from gentiantrestle.daemon.upstreams.service import Fleet
+from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.errors import (
     STOPPING,
     Refusal,
@@ -37,8 +37,8 @@
     membership: Membership
     configuration: Configuration
     admin: Admin
-    fleet: Fleet
-    online: Online
+    fleet: UpstreamRegistry
+    online: OnlineService
     batch: Batch
     reporter: Reporter
 
@@ -83,8 +83,8 @@
         cut = await self._server.stop(grace)
         with suppress(TimeoutError):
             async with asyncio.timeout(grace):
-                await self.parts.online.once.finish()
-        return cut + self.parts.online.once.running
+                await self.parts.online.at_most_once.finish()
+        return cut + self.parts.online.at_most_once.running
 
     @property
     def ready(self) -> bool:
--- a/gentiantrestle/daemon/online/admission.py
+++ b/gentiantrestle/daemon/online/admission.py
@@ -7,7 +7,7 @@
 from gentiantrestle.daemon.online.clients import ClientShares
 from gentiantrestle.daemon.online.queue import FairQueue, Ticket
 from gentiantrestle.daemon.upstreams.routing import POLICIES
-from gentiantrestle.daemon.upstreams.service import Fleet, Upstream
+from gentiantrestle.daemon.upstreams.service import Upstream, UpstreamRegistry
 from gentiantrestle.errors import OVERLOADED, Refusal, RefusedError
 from gentiantrestle.models import DeploymentDoc
 
@@ -33,7 +33,7 @@
 class Admission:
     """Slots of the upstreams, and the queue before them."""
 
-    def __init__(self, ctx: Context, fleet: Fleet) -> None:
+    def __init__(self, ctx: Context, fleet: UpstreamRegistry) -> None:
         """Start with an empty queue."""
         self._ctx = ctx
         self._fleet = fleet
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -16,7 +16,7 @@
 from gentiantrestle.daemon.upstreams.adapter import (
     WholeStream,
     build_call,
-    leaving_mark,
+    leaving_incarnation,
 )
 from gentiantrestle.daemon.upstreams.service import Upstream
 from gentiantrestle.errors import (
@@ -40,7 +40,7 @@
 PACE_EVENTS = 4
 
 
-class Work(NamedTuple):
+class OnlineRequest(NamedTuple):
     """One online request that may go to an upstream."""
 
     client: str
@@ -72,7 +72,7 @@
     def __init__(
         self,
         ctx: Context,
-        work: Work,
+        work: OnlineRequest,
         upstream: Upstream,
     ) -> None:
         """Give the attempt an id; nothing is sent yet."""
@@ -117,7 +117,7 @@
             (now - self.started_at) / self._work.tokens,
             now,
         )
-        self.upstream.health.succeed()
+        self.upstream.health.record_success()
         return body
 
     async def stream(self, answer: Answer) -> AsyncIterator[bytes]:
@@ -134,8 +134,8 @@
             error = repr(exc)
         finally:
             self._ctx.metrics.tokens.add({}, whole.events)
-        if whole.is_whole:
-            self.upstream.health.succeed()
+        if whole.is_complete:
+            self.upstream.health.record_success()
             return
         if not whole.events:
             raise self._fail(Stage.SENT, UPSTREAM_UNSURE, error)
@@ -164,7 +164,7 @@
                 yield part
 
     async def _refused(self, answer: Answer) -> AttemptError:
-        leaving = leaving_mark(answer)
+        leaving = leaving_incarnation(answer)
         body = b''
         try:
             body = await answer.read()
@@ -186,7 +186,7 @@
     ) -> AttemptError:
         now = self._ctx.now()
         name = self.upstream.name
-        self.upstream.health.fail(now, self._ctx.random.random())
+        self.upstream.health.record_failure(now, self._ctx.random.random())
         events.emit(events.UPSTREAM_FAILED, upstream=name, error=str(error))
         self._ctx.metrics.attempts.inc({'outcome': stage.value})
         reason = f'Upstream {name} failed: {error}'
--- a/gentiantrestle/daemon/online/relay.py
+++ b/gentiantrestle/daemon/online/relay.py
@@ -9,7 +9,7 @@
     Attempt,
     AttemptError,
     LeavingError,
-    Work,
+    OnlineRequest,
 )
 from gentiantrestle.daemon.online.hedging import HedgeRule
 from gentiantrestle.daemon.online.race import discard, first_good, was_kept
@@ -19,7 +19,7 @@
     Verdict,
     judge,
 )
-from gentiantrestle.daemon.upstreams.service import Fleet, Upstream
+from gentiantrestle.daemon.upstreams.service import Upstream, UpstreamRegistry
 from gentiantrestle.errors import (
     RefusedError,
 )
@@ -36,7 +36,7 @@
     def __init__(
         self,
         ctx: Context,
-        fleet: Fleet,
+        fleet: UpstreamRegistry,
         admission: Admission,
     ) -> None:
         """Start with a full retry budget."""
@@ -46,7 +46,7 @@
         self._budgets: dict[str, RetryBudget] = {}
         self._hedges = HedgeRule()
 
-    async def answer(self, work: Work) -> Response:
+    async def answer(self, work: OnlineRequest) -> Response:
         """Answer a request, or raise a refusal that says if it was run."""
         budget = self._budgets.setdefault(work.client, RetryBudget())
         budget.note_request(self._ctx.now())
@@ -70,7 +70,7 @@
 
     async def _race(
         self,
-        work: Work,
+        work: OnlineRequest,
         upstream: Upstream,
         wanted: Wanted,
         budget: RetryBudget,
@@ -121,7 +121,7 @@
         exc: AttemptError,
         budget: RetryBudget,
         tried: int,
-        work: Work,
+        work: OnlineRequest,
     ) -> None:
         """Return if another attempt may follow; else raise the refusal."""
         others_left = tried < len(work.deployment['upstreams'])
@@ -130,7 +130,7 @@
             raise RefusedError(exc.refusal) from exc
         self._ctx.metrics.attempts.inc({'outcome': 'retry'})
 
-    async def _try(self, work: Work, upstream: Upstream) -> Response:
+    async def _try(self, work: OnlineRequest, upstream: Upstream) -> Response:
         attempt = Attempt(self._ctx, work, upstream)
         try:
             answer = await attempt.send()
--- a/gentiantrestle/daemon/tree.py
+++ b/gentiantrestle/daemon/tree.py
@@ -10,9 +10,9 @@
 from gentiantrestle.daemon.entry.service import Entry, Parts
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.membership.view import State
-from gentiantrestle.daemon.online.service import Online
+from gentiantrestle.daemon.online.service import OnlineService
 from gentiantrestle.daemon.report.service import Reporter
-from gentiantrestle.daemon.upstreams.service import Fleet
+from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.store.client import StoreClient
 from gentiantrestle.supervisor import Child, Supervisor
 
@@ -46,7 +46,7 @@
         store = StoreClient(ctx)
         membership = Membership.from_config(ctx)
         configuration = Configuration(ctx, store, membership)
-        fleet = Fleet(ctx, configuration, membership)
+        fleet = UpstreamRegistry(ctx, configuration, membership)
         batch = Batch(ctx, store, configuration, membership, fleet)
         reporter = Reporter(ctx, membership, configuration, batch.reader)
         return cls(
@@ -57,7 +57,7 @@
                 configuration=configuration,
                 admin=Admin(ctx, store, configuration),
                 fleet=fleet,
-                online=Online(ctx, store, membership, fleet, reporter),
+                online=OnlineService(ctx, store, membership, fleet, reporter),
                 batch=batch,
                 reporter=reporter,
             )
--- a/gentiantrestle/daemon/upstreams/adapter.py
+++ b/gentiantrestle/daemon/upstreams/adapter.py
@@ -34,7 +34,7 @@
     )
 
 
-def leaving_mark(answer: Answer) -> int | None:
+def leaving_incarnation(answer: Answer) -> int | None:
     """Return the incarnation that refuses work since it is leaving."""
     mark = answer.header('X-Leaving')
     return int(mark) if mark.isdigit() else None
@@ -48,7 +48,7 @@
     return DEFAULT_TOKENS
 
 
-def stream_body(body: Mapping[str, Any], known_tokens: int) -> bytes:
+def build_stream_body(body: Mapping[str, Any], known_tokens: int) -> bytes:
     """Ask for a stream that goes on after the tokens already known."""
     asked = {**body, 'stream': True}
     if known_tokens:
@@ -70,18 +70,18 @@
         self._tail = (self._tail + part)[-TAIL_LENGTH:]
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether the last event was the mark of the end."""
         return self._tail.endswith(DONE_MARK + EVENT_END)
 
 
-class StreamReader:
+class TokenStreamReader:
     """Splits an engine's stream into tokens."""
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
         self._buffer = b''
-        self.is_whole = False
+        self.is_complete = False
 
     def feed(self, part: bytes) -> list[str]:
         """Return the texts of the events that are complete."""
@@ -90,7 +90,7 @@
         texts = []
         for line in lines:
             if line.startswith(DONE_MARK):
-                self.is_whole = True
+                self.is_complete = True
             elif line.startswith(EVENT_START):
                 texts.append(event_text(line[len(EVENT_START) :]))
         return texts
@@ -103,7 +103,9 @@
     return choice.get('text', delta.get('content', ''))
 
 
-def whole_answer(target: str, texts: list[str], model: str) -> dict[str, Any]:
+def build_completion(
+    target: str, texts: list[str], model: str
+) -> dict[str, Any]:
     """Build the answer that a request without streaming would get."""
     text = ''.join(texts)
     choice: dict[str, Any] = {'index': 0, 'finish_reason': 'stop'}
@@ -121,7 +123,7 @@
     }
 
 
-def prompt_of(body: Mapping[str, Any]) -> str:
+def prompt_text(body: Mapping[str, Any]) -> str:
     """Return the text that the engine has to read."""
     prompt = body.get('prompt')
     if isinstance(prompt, str):
--- a/gentiantrestle/daemon/upstreams/health.py
+++ b/gentiantrestle/daemon/upstreams/health.py
@@ -25,12 +25,12 @@
         self.samples = 0
         self.measured_at = float(0)
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Note a whole answer."""
         self.failures = 0
         self.closed_until = 0
 
-    def fail(self, now: float, jitter: float) -> None:
+    def record_failure(self, now: float, jitter: float) -> None:
         """Note a failure; after some in a row the upstream rests."""
         self.failures += 1
         over = self.failures - self._failures_to_open
@@ -47,7 +47,7 @@
         self.samples += 1
         self.measured_at = now
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Tell whether the upstream may be tried."""
         return now >= self.closed_until
 
--- a/gentiantrestle/daemon/upstreams/loads.py
+++ b/gentiantrestle/daemon/upstreams/loads.py
@@ -15,11 +15,11 @@
 QUIET_BEATS = 3
 
 
-class Pressure(NamedTuple):
+class OnlinePressure(NamedTuple):
     """Online requests on an upstream, and instances in doubt."""
 
     online: int
-    silent: int
+    uncertain_instances: int
 
 
 class Report(NamedTuple):
@@ -41,7 +41,7 @@
         self._listeners: list[Callable[[str], None]] = []
         membership.answer('load_report', self._take_report)
 
-    def listen(self, heed: Callable[[str], None]) -> None:
+    def add_listener(self, heed: Callable[[str], None]) -> None:
         """Call ``heed`` with each upstream whose load has changed."""
         self._listeners.append(heed)
 
--- a/gentiantrestle/daemon/upstreams/service.py
+++ b/gentiantrestle/daemon/upstreams/service.py
@@ -15,7 +15,7 @@
 from gentiantrestle.daemon.upstreams.loads import (
     PUBLISH_PERIOD,
     Loads,
-    Pressure,
+    OnlinePressure,
 )
 from gentiantrestle.daemon.upstreams.routing import Candidate, Snapshot
 from gentiantrestle.http.client import Pool
@@ -50,7 +50,7 @@
     batch_owner: str | None
 
 
-class Fleet:
+class UpstreamRegistry:
     """The child that knows all upstreams of the configuration."""
 
     def __init__(
@@ -147,16 +147,16 @@
         names = self._view.names(now, settings['zone'])
         return owner(f'slots/{name}', names)
 
-    def pressure(self, name: str, now: float) -> Pressure:
+    def online_pressure(self, name: str, now: float) -> OnlinePressure:
         """Tell how online uses an upstream, seen by its batch owner."""
         told = self.loads.totals(now).get(name)
         others = told.online if told else 0
         own = self.find(name).online
-        return Pressure(own + others, self.loads.doubtful(now))
+        return OnlinePressure(own + others, self.loads.doubtful(now))
 
     def is_usable(self, name: str, now: float) -> bool:
         """Tell whether an upstream may get new work."""
-        healthy = self.find(name).health.usable(now)
+        healthy = self.find(name).health.is_usable(now)
         return healthy and name not in self.leaving
 
     def mark_leaving(self, name: str, incarnation: int) -> None:
--- a/gentiantrestle/gateway/batch/item.py
+++ b/gentiantrestle/gateway/batch/item.py
@@ -57,12 +57,12 @@
             reply = await self._start(sending, dialect, upstream)
             finished = await self._read(sending, reply)
         except (LinkRefusedError, SendLostError, TimeoutError) as exc:
-            health.fail(now(), 0)
+            health.record_failure(now(), 0)
             finished = Finished(None, repr(exc))
         except OrderError as exc:
             finished = Finished(None, repr(exc))
         else:
-            health.succeed()
+            health.record_success()
         finally:
             sending.close()
             self.spent += now() - started
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -138,9 +138,9 @@
         health = self._means.placement.health(lease.upstream.id)
         outcome = await self._try(lease)
         if outcome in {Outcome.LOST, Outcome.UNREACHED}:
-            health.fail(self._means.now(), 0)
+            health.record_failure(self._means.now(), 0)
         elif outcome in {Outcome.DONE, Outcome.FAILED}:
-            health.succeed()
+            health.record_success()
         return outcome
 
     async def finish(self, step: Step, outcome: Outcome) -> None:
--- a/gentiantrestle/gateway/placement.py
+++ b/gentiantrestle/gateway/placement.py
@@ -109,7 +109,7 @@
     ) -> list[Upstream]:
         """Leave out upstreams at rest, unless all of them are."""
         every = list(upstreams)
-        usable = [one for one in every if self.health(one.id).usable(now)]
+        usable = [one for one in every if self.health(one.id).is_usable(now)]
         return usable or every
 
     def _may_overbook(self, upstream: Upstream, now: float) -> bool:
--- a/gentiantrestle/library/jobs.py
+++ b/gentiantrestle/library/jobs.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gentiantrestle.daemon.upstreams.adapter import StreamReader
+from gentiantrestle.daemon.upstreams.adapter import TokenStreamReader
 from gentiantrestle.library.connection import Connection, UnreachableError
 
 RUNNING = 'running'
@@ -70,10 +70,10 @@
                 'stream': True,
             }
         )
-        reader = StreamReader()
+        reader = TokenStreamReader()
         for part in self._conn.stream('POST', '/v1/completions', body):
             yield from reader.feed(part)
-        if not reader.is_whole:
+        if not reader.is_complete:
             raise UnreachableError('The answer was cut; drop it and ask again.')
 
 
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -15,10 +15,13 @@
     Verdict,
     judge,
 )
-from gentiantrestle.daemon.upstreams.adapter import StreamReader, WholeStream
+from gentiantrestle.daemon.upstreams.adapter import (
+    TokenStreamReader,
+    WholeStream,
+)
 from gentiantrestle.daemon.upstreams.health import Health, compare
 from gentiantrestle.daemon.upstreams.leaving import LeavingMarks
-from gentiantrestle.daemon.upstreams.loads import Pressure
+from gentiantrestle.daemon.upstreams.loads import OnlinePressure
 from gentiantrestle.daemon.upstreams.routing import (
     POLICIES,
     Candidate,
@@ -129,15 +132,15 @@
 def test_failing_upstream_rests_longer_each_time() -> None:
     health = Health()
     for _ in range(2):
-        health.fail(0, 0)
-    assert health.usable(0)
-    health.fail(0, 0)
-    assert not health.usable(0.4)
-    assert health.usable(0.5)
-    health.fail(1, 0)
-    assert not health.usable(1.9)
-    health.succeed()
-    assert health.usable(1)
+        health.record_failure(0, 0)
+    assert health.is_usable(0)
+    health.record_failure(0, 0)
+    assert not health.is_usable(0.4)
+    assert health.is_usable(0.5)
+    health.record_failure(1, 0)
+    assert not health.is_usable(1.9)
+    health.record_success()
+    assert health.is_usable(1)
 
 
 @pytest.mark.parametrize(
@@ -288,18 +291,18 @@
     silent: int,
     cap: int,
 ) -> None:
-    assert target_cap(SLOTS, Pressure(online, silent)) == cap
+    assert target_cap(SLOTS, OnlinePressure(online, silent)) == cap
 
 
 def test_batch_yields_at_once_and_grows_after_calm() -> None:
     allowance = Allowance(SLOTS)
     for step in range(20):
-        allowance.update(Pressure(0, 0), step)
+        allowance.update(OnlinePressure(0, 0), step)
     assert allowance.cap == SLOTS
-    assert allowance.update(Pressure(SLOTS, 0), 20) == 0
-    assert allowance.update(Pressure(0, 0), 20.1) == 0
-    assert allowance.update(Pressure(0, 0), 20.25) == 4
-    assert allowance.update(Pressure(0, 0), 20.26) == 4
+    assert allowance.update(OnlinePressure(SLOTS, 0), 20) == 0
+    assert allowance.update(OnlinePressure(0, 0), 20.1) == 0
+    assert allowance.update(OnlinePressure(0, 0), 20.25) == 4
+    assert allowance.update(OnlinePressure(0, 0), 20.26) == 4
 
 
 def test_batch_cap_does_not_flap() -> None:
@@ -308,7 +311,7 @@
     caps = []
     for step in range(100):
         busy = SLOTS if step % 2 else 0
-        caps.append(allowance.update(Pressure(busy, 0), step / 10))
+        caps.append(allowance.update(OnlinePressure(busy, 0), step / 10))
     assert set(caps[2:]) == {0}
 
 
@@ -354,12 +357,12 @@
 def test_a_stream_is_whole_only_with_its_end(size: int) -> None:
     event = b'data: {"choices":[{"text":" w1"}]}\n\n'
     sent = event * 3 + b'data: [DONE]\n\n'
-    whole, reader, texts = WholeStream(), StreamReader(), []
+    whole, reader, texts = WholeStream(), TokenStreamReader(), []
     parts = [sent[at : at + size] for at in range(0, len(sent), size)]
     for part in parts:
-        assert not whole.is_whole
+        assert not whole.is_complete
         whole.feed(part)
         texts += reader.feed(part)
-    assert whole.is_whole
-    assert reader.is_whole
+    assert whole.is_complete
+    assert reader.is_complete
     assert texts == [' w1'] * 3
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -122,7 +122,7 @@
     placement, _ = _placement()
     bad, good = upstream('bad'), upstream('good', zone='b1')
     for _ in range(2):
-        placement.health('bad').fail(0, 0)
+        placement.health('bad').record_failure(0, 0)
     assert placement.choose([bad, good], 0.1) == good
     assert placement.choose([bad], 0.1) == bad
 
