--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -7,7 +7,7 @@
 from gentiantrestle import events
 from gentiantrestle.errors import NO_UPSTREAM, OVERLOADED, RefusedError, refuse
 from gentiantrestle.gateway.loads import LoadBoard
-from gentiantrestle.gateway.model import Call, Route, Upstream
+from gentiantrestle.gateway.model import Request, Route, Upstream
 from gentiantrestle.gateway.placement import Placement
 from gentiantrestle.gateway.queueing import (
     AdmissionQueue,
@@ -22,17 +22,17 @@
 NO_UPSTREAM_PAUSE = 0.5  # seconds
 
 
-class Lease(NamedTuple):
+class SlotLease(NamedTuple):
     """A slot that a request holds on an upstream."""
 
     upstream: Upstream
-    since: float
+    acquired_at: float
 
 
-class Wanted(NamedTuple):
+class SlotRequest(NamedTuple):
     """What a request needs: its service, and upstreams to avoid."""
 
-    call: Call
+    call: Request
     route: Route
     service: str
     excluded: frozenset[str] = frozenset()
@@ -64,7 +64,7 @@
         """Count the requests that wait here."""
         return sum(len(queue) for queue in self._queues.values())
 
-    async def enter(self, wanted: Wanted) -> Lease:
+    async def acquire(self, wanted: SlotRequest) -> SlotLease:
         """Take a slot, waiting a little; raises ``RefusedError``."""
         now = self._now()
         queue = self._queues.setdefault(wanted.service, AdmissionQueue())
@@ -77,13 +77,13 @@
             upstream = await self._wait(wanted, queue, now)
         self._board.add(upstream.id, online=1)
         self._log_placed(wanted, upstream, now)
-        return Lease(upstream, self._now())
+        return SlotLease(upstream, self._now())
 
-    def leave(self, lease: Lease) -> None:
+    def release(self, lease: SlotLease) -> None:
         """Give a slot back, and let the next request have it."""
         now = self._now()
         self._board.add(lease.upstream.id, online=-1)
-        self._hold(lease.upstream.service).note(now - lease.since)
+        self._hold(lease.upstream.service).note(now - lease.acquired_at)
         self.dispatch()
 
     def dispatch(self) -> None:
@@ -125,11 +125,11 @@
         )
         if yielded is not None:
             return next(one for one in found if one.id == yielded)
-        return self._placement.choose_over_batch(found, now, excluded=excluded)
+        return self._placement.choose_preemptible(found, now, excluded=excluded)
 
     async def _wait(
         self,
-        wanted: Wanted,
+        wanted: SlotRequest,
         queue: AdmissionQueue,
         now: float,
     ) -> Upstream:
@@ -175,7 +175,7 @@
 
     def _refusal(
         self,
-        wanted: Wanted,
+        wanted: SlotRequest,
         expected: float,
         now: float,
     ) -> RefusedError:
@@ -199,7 +199,7 @@
 
     def _log_placed(
         self,
-        wanted: Wanted,
+        wanted: SlotRequest,
         upstream: Upstream,
         now: float,
     ) -> None:
--- a/gentiantrestle/gateway/assembly.py
+++ b/gentiantrestle/gateway/assembly.py
@@ -9,20 +9,20 @@
 from gentiantrestle.gateway.batch.parts import Clock, Parts
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.loads import LoadBoard
-from gentiantrestle.gateway.placement import Placement, Site
+from gentiantrestle.gateway.placement import Placement, Topology
 from gentiantrestle.gateway.ports import Adapter
 from gentiantrestle.gateway.settling import SettlingStore
 from gentiantrestle.gateway.state import State
 from gentiantrestle.models import Address
 
 
-class Plan(NamedTuple):
+class InstanceConfig(NamedTuple):
     """Where one instance stands and listens; ``grace`` is in s."""
 
     instance: str
-    site: Site
+    topology: Topology
     host: str
-    callers: Address
+    http_address: Address
     peer_port: int
     seeds: tuple[str, ...]
     grace: float
@@ -37,7 +37,7 @@
 
 
 def build_workplace(
-    site: Site,
+    site: Topology,
     adapter: Adapter,
     state: State,
     clock: Clock,
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -18,9 +18,9 @@
 from gentiantrestle.gateway.batch.parts import Parts
 from gentiantrestle.gateway.batch.reader import ResultReader
 from gentiantrestle.gateway.batch.runner import Runner
-from gentiantrestle.gateway.model import Call, Job, Route
+from gentiantrestle.gateway.model import Job, Request, Route
 from gentiantrestle.gateway.ports import (
-    EndJob,
+    CancelJob,
     ReadBody,
     ReadResults,
 )
@@ -77,7 +77,9 @@
         self._instance = instance
         self.on_end: Callable[[str], None] = _ignore
 
-    async def hand_in(self, call: Call, route: Route, terms: Terms) -> Answer:
+    async def hand_in(
+        self, call: Request, route: Route, terms: Terms
+    ) -> Answer:
         """Accept a job once; the store's yes comes before ours."""
         if call.id in self._index.entries:
             return _accepted()
@@ -124,12 +126,12 @@
     async def body(self, wanted: ReadBody) -> Answer:
         """Return the body of an item."""
         entry = await self._find(wanted.job)
-        found = await self._body(entry, wanted.wanted)
+        found = await self._body(entry, wanted.item_id)
         if found is None:
             raise refuse(NOT_FOUND, 'The job has no such item')
         return Answer(OK, BYTES_HEADERS, found)
 
-    async def end(self, wanted: EndJob) -> Answer:
+    async def end(self, wanted: CancelJob) -> Answer:
         """End a job for good."""
         try:
             known = await self._job_store.end(wanted.job)
--- a/gentiantrestle/gateway/batch/index.py
+++ b/gentiantrestle/gateway/batch/index.py
@@ -26,7 +26,7 @@
     @property
     def open(self) -> bool:
         """Tell whether items of the job may still be run."""
-        closed = self.job.ended or self.job.done
+        closed = self.job.cancelled or self.job.done
         return not closed and not self.complete
 
     @property
@@ -38,13 +38,13 @@
         """Take in a newer state; an end is never taken back."""
         self.stored = record.stored
         self.job = record.job._replace(
-            ended=record.job.ended or self.job.ended,
+            cancelled=record.job.cancelled or self.job.cancelled,
             done=record.job.done or self.job.done,
         )
 
     def end(self) -> None:
         """Mark the job as ended by its caller."""
-        self.job = self.job._replace(ended=True)
+        self.job = self.job._replace(cancelled=True)
 
     def append(self, chunk: Iterable[ItemResult]) -> None:
         """Take in the next part of the results, as the store holds it."""
--- a/gentiantrestle/gateway/batch/item.py
+++ b/gentiantrestle/gateway/batch/item.py
@@ -9,8 +9,12 @@
 from gentiantrestle.gateway.model import ItemResult, ItemSpec, Upstream
 from gentiantrestle.gateway.placement import Placement
 from gentiantrestle.gateway.ports import Dialect, Reply
-from gentiantrestle.gateway.sending import Message, Sending, SendLostError
-from gentiantrestle.gateway.sse import EventSplitter, OrderError
+from gentiantrestle.gateway.sse import EventOrderError, EventSplitter
+from gentiantrestle.gateway.upstream_connection import (
+    ResponseLostError,
+    UpstreamConnection,
+    UpstreamRequest,
+)
 from gentiantrestle.http.link import LinkRefusedError
 
 OK = 200
@@ -49,17 +53,17 @@
         now: Callable[[], float],
     ) -> Finished:
         """Run on from the last event; never raises but on cancellation."""
-        sending = Sending(dialect)
+        sending = UpstreamConnection(dialect)
         health = placement.health(upstream.id)
         started = now()
         try:
-            await sending.open(upstream)
+            await sending.connect(upstream)
             reply = await self._start(sending, dialect, upstream)
             finished = await self._read(sending, reply)
-        except (LinkRefusedError, SendLostError, TimeoutError) as exc:
+        except (LinkRefusedError, ResponseLostError, TimeoutError) as exc:
             health.fail(now(), 0)
             finished = Finished(None, repr(exc))
-        except OrderError as exc:
+        except EventOrderError as exc:
             finished = Finished(None, repr(exc))
         else:
             health.succeed()
@@ -76,11 +80,11 @@
 
     async def _start(
         self,
-        sending: Sending,
+        sending: UpstreamConnection,
         dialect: Dialect,
         upstream: Upstream,
     ) -> Reply:
-        message = Message(
+        message = UpstreamRequest(
             self.spec.id,
             'POST',
             self.spec.path,
@@ -90,9 +94,11 @@
             self.spec.body,
         )
         async with asyncio.timeout(MAX_SILENCE):
-            return await sending.start(message)
+            return await sending.send(message)
 
-    async def _read(self, sending: Sending, reply: Reply) -> Finished:
+    async def _read(
+        self, sending: UpstreamConnection, reply: Reply
+    ) -> Finished:
         if reply.status == OK:
             await self._collect(sending)
             text = '\n'.join(self._texts)
@@ -106,12 +112,12 @@
             return Finished(self.give_up(reason), reason)
         return Finished(None, reason)
 
-    async def _collect(self, sending: Sending) -> None:
+    async def _collect(self, sending: UpstreamConnection) -> None:
         splitter = EventSplitter(self._last)
-        async for part in sending.parts(MAX_SILENCE):
+        async for part in sending.iter_body(MAX_SILENCE):
             for event in splitter.feed(part):
                 self._texts.append(event.data)
-                self._last = splitter.last
+                self._last = splitter.last_id
 
     def _log(self, upstream: Upstream, finished: Finished) -> None:
         events.emit(
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -24,7 +24,7 @@
 )
 from gentiantrestle.gateway.follow import Backoff
 from gentiantrestle.gateway.model import ItemResult, Job
-from gentiantrestle.gateway.ports import ObjectStore, Stored
+from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -66,7 +66,7 @@
         self.index = index
         self._rng = rng
 
-    def note(self, stored: Stored) -> JobEntry | None:
+    def note(self, stored: StoredObject) -> JobEntry | None:
         """Take in a job's object; nothing where it can't be read."""
         if stored.deleted:
             self.index.entries.pop(stored.name, None)
@@ -79,7 +79,7 @@
             )
             return None
 
-    def take_in(self, found: Iterable[Stored], revision: int) -> None:
+    def take_in(self, found: Iterable[StoredObject], revision: int) -> None:
         """Take in jobs that are new as of a revision of the store."""
         for stored in found:
             self.note(stored)
@@ -97,7 +97,7 @@
         # The index is what accepts the job: without it the bodies are nothing.
         new = await self._store.create(JOB_KIND, job.id, content)
         if new:
-            entry = self.note(Stored(job.id, 0, content))
+            entry = self.note(StoredObject(job.id, 0, content))
             entry.load(job.items)
             entry.learned = True
             entry.sole = True
@@ -122,10 +122,10 @@
     async def relist(self) -> None:
         """Read every job's index; raise ``StoreUnavailableError``."""
         page = await self._store.list_page(JOB_KIND, '')
-        found = list(page.found)
-        while page.more and page.found:
+        found = list(page.entries)
+        while page.more and page.entries:
             page = await self._store.list_page(JOB_KIND, found[-1].name)
-            found.extend(page.found)
+            found.extend(page.entries)
         for stored in found:
             self.note(stored)
 
@@ -238,13 +238,13 @@
             self.index.end(job)
         return stored is not None
 
-    def _has_ended(self, stored: Stored) -> bool:
+    def _has_ended(self, stored: StoredObject) -> bool:
         """Take a job in; tell whether its state is final."""
         entry = self.note(stored)
         return entry is None or entry.job.done or _state_of(stored) == ENDED
 
 
-def _state_of(stored: Stored) -> str:
+def _state_of(stored: StoredObject) -> str:
     return (stored.status or {}).get('state', '')
 
 
--- a/gentiantrestle/gateway/batch/records.py
+++ b/gentiantrestle/gateway/batch/records.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple
 
 from gentiantrestle.gateway.model import ItemResult, ItemSpec, Job
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 
 JOB_KIND = 'batch-jobs'
 BODY_KIND = 'batch-bodies'
@@ -17,7 +17,7 @@
     """A job as it was read, with what a status write needs."""
 
     job: Job
-    stored: Stored
+    stored: StoredObject
 
 
 def chunk_name(job: str, index: int) -> str:
@@ -50,7 +50,7 @@
     }
 
 
-def job_from_stored(stored: Stored) -> JobRecord:
+def job_from_stored(stored: StoredObject) -> JobRecord:
     """Read a job and its state; the bodies are not in it."""
     told = stored.content
     state = (stored.status or {}).get('state', '')
@@ -62,7 +62,7 @@
         acceptor=told['acceptor'],
         items=tuple(ItemSpec(name, tokens) for name, tokens in told['items']),
         version=told['version'],
-        ended=state == ENDED,
+        cancelled=state == ENDED,
         done=state == DONE,
     )
     return JobRecord(job, stored)
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -130,7 +130,7 @@
     ) -> int:
         placement = self._parts.placement
         fit = placement.healthy(found, now)
-        free = sum(max(0, placement.free(one, now)) for one in fit)
+        free = sum(max(0, placement.free_slots(one, now)) for one in fit)
         return startable(free, sum(one.slots for one in found), ahead)
 
     def _own_entries(self) -> Iterator[tuple[JobEntry, Route | None]]:
--- a/gentiantrestle/gateway/batch/table.py
+++ b/gentiantrestle/gateway/batch/table.py
@@ -111,7 +111,7 @@
         board = self._parts.board
         used = {one.upstream for one in self._running.values()}
         for upstream in used:
-            if self._parts.placement.free(upstream, now) >= 0:
+            if self._parts.placement.free_slots(upstream, now) >= 0:
                 continue
             own = board.own[upstream.id].batch
             if own >= board.most_batch(upstream.id, now):
--- a/gentiantrestle/gateway/copies.py
+++ b/gentiantrestle/gateway/copies.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from gentiantrestle.gateway.batch.job_store import JobStore
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.gateway.state import State
 from gentiantrestle.gateway.watching import Known
 from gentiantrestle.wire.peer import ttypes
@@ -71,17 +71,17 @@
         jobs = [_unpack(one) for one in told.jobs]
         self._job_store.take_in(jobs, told.jobs_revision)
 
-    def _newer_jobs(self, revision: int) -> Iterable[Stored]:
+    def _newer_jobs(self, revision: int) -> Iterable[StoredObject]:
         for entry in self._job_store.index.entries.values():
             if entry.stored.revision > revision:
                 yield entry.stored
 
 
-def _pack(stored: Stored) -> ttypes.KnownObject:
+def _pack(stored: StoredObject) -> ttypes.KnownObject:
     content = msgspec.json.encode([stored.content, stored.status])
     return ttypes.KnownObject(stored.name, stored.revision, content)
 
 
-def _unpack(told: ttypes.KnownObject) -> Stored:
+def _unpack(told: ttypes.KnownObject) -> StoredObject:
     content, status = msgspec.json.decode(told.content)
-    return Stored(told.name, told.revision, content, status)
+    return StoredObject(told.name, told.revision, content, status)
--- a/gentiantrestle/gateway/follow.py
+++ b/gentiantrestle/gateway/follow.py
@@ -9,7 +9,7 @@
 from gentiantrestle.gateway.ports import (
     HistoryGoneError,
     ObjectStore,
-    Stored,
+    StoredObject,
 )
 from gentiantrestle.store.client import StoreUnavailableError
 
@@ -38,8 +38,8 @@
 class Sink(NamedTuple):
     """What a follower does with what it reads."""
 
-    replace: Callable[[Iterable[Stored], int], None]
-    change: Callable[[Iterable[Stored], int], None]
+    replace: Callable[[Iterable[StoredObject], int], None]
+    change: Callable[[Iterable[StoredObject], int], None]
     lost: Callable[[], None]
     # Up to which revision all changes are known, from whomever; 0 for none.
     known: Callable[[], int]
@@ -122,19 +122,19 @@
         page = await self._store.watch(self._kind, self._revision, wait)
         self._note_back()
         self._revision = page.revision
-        if page.found:
-            self._sink.change(page.found, page.revision)
+        if page.entries:
+            self._sink.change(page.entries, page.revision)
             await asyncio.sleep(self._subject.rest)
 
     async def _list(self) -> None:
-        found: list[Stored] = []
+        found: list[StoredObject] = []
         page = await self._store.list_page(self._kind, '')
-        found.extend(page.found)
+        found.extend(page.entries)
         # The first page's revision: later changes are seen again, none lost.
         revision = page.revision
-        while page.more and page.found:
+        while page.more and page.entries:
             page = await self._store.list_page(self._kind, found[-1].name)
-            found.extend(page.found)
+            found.extend(page.entries)
         self._note_back()
         self._sink.replace(found, revision)
         self._revision = revision
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -12,15 +12,24 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.gateway.admission import Admission, Lease, Wanted
-from gentiantrestle.gateway.callers import Exchange
-from gentiantrestle.gateway.model import Call, Route, RouteKind
+from gentiantrestle.gateway.admission import Admission, SlotLease, SlotRequest
+from gentiantrestle.gateway.http_server import Exchange
+from gentiantrestle.gateway.model import Request, Route, RouteKind
 from gentiantrestle.gateway.placement import Placement
 from gentiantrestle.gateway.ports import Dialect, Reply
 from gentiantrestle.gateway.queueing import MIN_RETRY_AFTER, retry_after
-from gentiantrestle.gateway.sending import Message, Sending, SendLostError
-from gentiantrestle.gateway.sse import EventSplitter, OrderError
-from gentiantrestle.gateway.steps import Outcome, Progress, Step, next_step
+from gentiantrestle.gateway.retry_policy import (
+    Outcome,
+    Progress,
+    Step,
+    next_step,
+)
+from gentiantrestle.gateway.sse import EventOrderError, EventSplitter
+from gentiantrestle.gateway.upstream_connection import (
+    ResponseLostError,
+    UpstreamConnection,
+    UpstreamRequest,
+)
 from gentiantrestle.http.link import LinkRefusedError
 
 OK = 200
@@ -67,7 +76,7 @@
 
     async def answer(
         self,
-        call: Call,
+        call: Request,
         route: Route,
         service: str,
         exchange: Exchange,
@@ -79,7 +88,7 @@
             try:
                 outcome = await run.attempt(lease)
             finally:
-                self._means.admission.leave(lease)
+                self._means.admission.release(lease)
             left = call.deadline - self._means.now()
             step = next_step(outcome, run.progress(), left)
             events.emit(
@@ -102,7 +111,7 @@
     def __init__(
         self,
         means: Means,
-        call: Call,
+        call: Request,
         route: Route,
         exchange: Exchange,
     ) -> None:
@@ -119,11 +128,11 @@
     def progress(self) -> Progress:
         return self._counts._replace(begun=self._exchange.begun)
 
-    async def enter(self, service: str) -> Lease:
+    async def enter(self, service: str) -> SlotLease:
         """Take a slot on an upstream that was not tried yet."""
-        wanted = Wanted(self._call, self._route, service, self._tried)
+        wanted = SlotRequest(self._call, self._route, service, self._tried)
         try:
-            lease = await self._means.admission.enter(wanted)
+            lease = await self._means.admission.acquire(wanted)
         except RefusedError as exc:
             if self._exchange.begun:
                 self._exchange.cut()
@@ -133,7 +142,7 @@
         self._tried |= {lease.upstream.id}
         return lease
 
-    async def attempt(self, lease: Lease) -> Outcome:
+    async def attempt(self, lease: SlotLease) -> Outcome:
         """Try one upstream; note what it means for its health."""
         health = self._means.placement.health(lease.upstream.id)
         outcome = await self._try(lease)
@@ -162,8 +171,8 @@
             return refuse(ANSWER_TIMEOUT, self.reason)
         return refuse(UPSTREAM_UNSURE, self.reason)
 
-    async def _try(self, lease: Lease) -> Outcome:
-        sending = Sending(self._means.dialect)
+    async def _try(self, lease: SlotLease) -> Outcome:
+        sending = UpstreamConnection(self._means.dialect)
         left = self._call.deadline - self._means.now()
         self.reason = ''
         try:
@@ -179,44 +188,48 @@
             sending.close()
         return Outcome.DONE
 
-    async def _send(self, sending: Sending, lease: Lease) -> None:
+    async def _send(
+        self, sending: UpstreamConnection, lease: SlotLease
+    ) -> None:
         counts = self._counts
         self._counts = counts._replace(refusals=counts.refusals + 1)
         try:
-            await sending.open(lease.upstream)
+            await sending.connect(lease.upstream)
         except LinkRefusedError as exc:
             raise AttemptEndedError(Outcome.UNREACHED, repr(exc)) from exc
         # From here on it may have run, until the upstream says otherwise.
         self._counts = counts._replace(runs=counts.runs + 1)
         try:
             async with asyncio.timeout(self._stall):
-                reply = await sending.start(self._message(lease))
-        except (SendLostError, TimeoutError) as exc:
+                reply = await sending.send(self._message(lease))
+        except (ResponseLostError, TimeoutError) as exc:
             raise AttemptEndedError(Outcome.LOST, repr(exc)) from exc
         if reply.not_run:
             self._counts = counts._replace(refusals=counts.refusals + 1)
             raise AttemptEndedError(Outcome.NOT_RUN, f'status {reply.status}')
         await self._read(sending, reply)
 
-    async def _read(self, sending: Sending, reply: Reply) -> None:
+    async def _read(self, sending: UpstreamConnection, reply: Reply) -> None:
         try:
             if self._route.kind is RouteKind.STREAM and reply.status == OK:
                 await self._stream(sending, reply)
             else:
                 await self._pass_whole(sending, reply)
-        except (SendLostError, OrderError) as exc:
+        except (ResponseLostError, EventOrderError) as exc:
             raise AttemptEndedError(Outcome.LOST, repr(exc)) from exc
 
-    async def _pass_whole(self, sending: Sending, reply: Reply) -> None:
-        body = await sending.read(self._stall)
+    async def _pass_whole(
+        self, sending: UpstreamConnection, reply: Reply
+    ) -> None:
+        body = await sending.read_body(self._stall)
         if reply.status >= SERVER_ERROR or self._exchange.begun:
             self._failure = Failed(reply, body)
             raise AttemptEndedError(Outcome.FAILED, f'status {reply.status}')
         await self._exchange.respond(reply.status, reply.headers, body)
 
-    async def _stream(self, sending: Sending, reply: Reply) -> None:
-        self._splitter = EventSplitter(self._splitter.last)
-        async for part in sending.parts(self._stall):
+    async def _stream(self, sending: UpstreamConnection, reply: Reply) -> None:
+        self._splitter = EventSplitter(self._splitter.last_id)
+        async for part in sending.iter_body(self._stall):
             whole = b''.join(one.raw for one in self._splitter.feed(part))
             if whole:
                 await self._write(reply, whole)
@@ -231,17 +244,19 @@
         headers = [pair for pair in reply.headers if pair[0] != LENGTH]
         await self._exchange.begin(reply.status, headers, piece)
 
-    def _message(self, lease: Lease) -> Message:
+    def _message(self, lease: SlotLease) -> UpstreamRequest:
         call = self._call
         left = call.deadline - self._means.now()
         headers = self._means.dialect.upstream_headers(
-            call, lease.upstream, left, self._splitter.last
+            call, lease.upstream, left, self._splitter.last_id
+        )
+        return UpstreamRequest(
+            call.id, call.method, call.target, headers, call.body
         )
-        return Message(call.id, call.method, call.target, headers, call.body)
 
     @property
     def _stall(self) -> float | None:
         """Longest silence of an upstream, in s; None where it must finish."""
         if not self._route.idempotent:
             return None
-        return min(MAX_STALL, self._route.target * STALL_TARGETS)
+        return min(MAX_STALL, self._route.latency_target * STALL_TARGETS)
--- a/gentiantrestle/gateway/headers.py
+++ b/gentiantrestle/gateway/headers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from gentiantrestle.gateway.model import HeaderPairs
+from gentiantrestle.gateway.model import HeaderTuple
 
 HOP_BY_HOP = frozenset(
     (
@@ -22,10 +22,10 @@
 NONE_DROPPED: frozenset[bytes] = frozenset()
 
 
-def forwardable(
+def forwardable_headers(
     pairs: Iterable[tuple[bytes, bytes]],
     dropped: frozenset[bytes] = NONE_DROPPED,
-) -> HeaderPairs:
+) -> HeaderTuple:
     """Leave out fields of one connection, and those in ``dropped``."""
     every = [(name.lower(), text) for name, text in pairs]
     hidden = HOP_BY_HOP | dropped | frozenset(_listed(every))
--- a/gentiantrestle/gateway/callers.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -95,16 +95,16 @@
         )
 
 
-Handle = Callable[[Exchange], Awaitable[None]]
+Handler = Callable[[Exchange], Awaitable[None]]
 RefusalWriter = Callable[[Refusal], tuple[int, HeaderPairs, bytes]]
 
 
-class Callers:
+class HttpServer:
     """Accepts callers and stops without cutting a request."""
 
     def __init__(
         self,
-        handle: Handle,
+        handle: Handler,
         write_refusal: RefusalWriter,
         limits: Callable[[], CallerLimits],
     ) -> None:
--- a/gentiantrestle/gateway/measures.py
+++ b/gentiantrestle/gateway/metrics.py
@@ -5,7 +5,7 @@
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
-from gentiantrestle.gateway.callers import Exchange
+from gentiantrestle.gateway.http_server import Exchange
 
 PATH = b'/metrics'
 OK = 200
@@ -21,7 +21,7 @@
     read: Callable[[], float]
 
 
-class Measures:
+class Metrics:
     """All metrics of one instance of the gateway."""
 
     def __init__(self, instance: str, zone: str) -> None:
--- a/gentiantrestle/gateway/model.py
+++ b/gentiantrestle/gateway/model.py
@@ -7,7 +7,7 @@
 
 from gentiantrestle.models import Address
 
-HeaderPairs = tuple[tuple[bytes, bytes], ...]
+HeaderTuple = tuple[tuple[bytes, bytes], ...]
 
 
 class RouteKind(Enum):
@@ -34,7 +34,7 @@
     prefix: str
     kind: RouteKind
     timeout: float
-    target: float
+    latency_target: float
     priority: int
     shares: tuple[Share, ...]
     max_attempts: int
@@ -67,7 +67,7 @@
     idle_timeout: float = 15
 
 
-class Table(NamedTuple):
+class RoutingTable(NamedTuple):
     """One version of the configuration."""
 
     version: int
@@ -76,11 +76,11 @@
     limits: CallerLimits
 
 
-NO_TABLE = Table(0, (), {}, CallerLimits())
+EMPTY_TABLE = RoutingTable(0, (), {}, CallerLimits())
 
 
 class Upstream(NamedTuple):
-    """One server as discovery knows it; ``born`` tells restarts apart."""
+    """An upstream as discovered; ``incarnation`` changes when it restarts."""
 
     id: str
     service: str
@@ -88,21 +88,21 @@
     zone: str
     slots: int
     draining: bool
-    born: int
+    incarnation: int
 
 
-class Call(NamedTuple):
+class Request(NamedTuple):
     """A caller's request, decoded; ``deadline`` is a monotonic time in s."""
 
     id: str
     method: str
     target: str
     host: str
-    headers: HeaderPairs
+    headers: HeaderTuple
     body: bytes
     received: float
     deadline: float
-    returned: bool = False
+    is_retry: bool = False
     last_event: int = 0
 
 
@@ -132,7 +132,7 @@
     acceptor: str
     items: tuple[ItemSpec, ...]  # noqa: WPS110 (batch's word)
     version: int = 0
-    ended: bool = False
+    cancelled: bool = False
     done: bool = False
 
     @property
--- a/gentiantrestle/gateway/listener.py
+++ b/gentiantrestle/gateway/monitoring.py
@@ -1,18 +1,20 @@
 """A listener of its own for those who watch the instance."""
 
 from gentiantrestle.errors import Refusal
-from gentiantrestle.gateway.callers import Callers, Handle
+from gentiantrestle.gateway.http_server import Handler, HttpServer
 from gentiantrestle.gateway.model import CallerLimits
 from gentiantrestle.http.link import HeaderPairs
 from gentiantrestle.models import Address
 
 
-async def listen(handle: Handle, address: Address) -> Callers:
+async def start_monitoring_server(
+    handle: Handler, address: Address
+) -> HttpServer:
     """Answer at ``address``, apart from callers and their limits.
 
     Callers that fill their own port can't hide whether the instance serves.
     """
-    callers = Callers(handle, _refuse, CallerLimits)
+    callers = HttpServer(handle, _refuse, CallerLimits)
     await callers.start(address.host, address.port)
     return callers
 
--- a/gentiantrestle/gateway/placement.py
+++ b/gentiantrestle/gateway/placement.py
@@ -29,7 +29,7 @@
 SLOT_WEIGHT = 0.001  # breaks ties between equally loaded upstreams
 
 
-class Site(NamedTuple):
+class Topology(NamedTuple):
     """Where this instance stands, and the region of each zone."""
 
     zone: str
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        site: Site,
+        site: Topology,
         board: LoadBoard,
         chance: Callable[[], float],
     ) -> None:
@@ -66,7 +66,7 @@
         """Return the measurements of one upstream."""
         return self._health.setdefault(upstream, Health(FAILURES_TO_REST))
 
-    def free(self, upstream: Upstream, now: float) -> int:
+    def free_slots(self, upstream: Upstream, now: float) -> int:
         """Return how many slots of an upstream are free."""
         return upstream.slots - self._board.of(upstream.id, now).total
 
@@ -83,11 +83,11 @@
             upstream
             for upstream in self.healthy(upstreams, now)
             if upstream.id not in excluded
-            and self.free(upstream, now) > reserve
+            and self.free_slots(upstream, now) > reserve
         ]
         return min(fit, key=lambda one: self._cost(one, now), default=None)
 
-    def choose_over_batch(
+    def choose_preemptible(
         self,
         upstreams: Iterable[Upstream],
         now: float,
--- a/gentiantrestle/gateway/ports.py
+++ b/gentiantrestle/gateway/ports.py
@@ -7,11 +7,11 @@
 
 from gentiantrestle.errors import Refusal
 from gentiantrestle.gateway.model import (
-    Call,
-    HeaderPairs,
+    HeaderTuple,
     ItemResult,
     ItemSpec,
-    Table,
+    Request,
+    RoutingTable,
     Upstream,
 )
 
@@ -20,7 +20,7 @@
     """The store has dropped the history that a watch asked for."""
 
 
-class Stored(NamedTuple):
+class StoredObject(NamedTuple):
     """One object of the store; ``content`` and ``status`` are plain data."""
 
     name: str
@@ -33,7 +33,7 @@
 class Page(NamedTuple):
     """Part of a list, or the changes since a revision."""
 
-    found: tuple[Stored, ...]
+    entries: tuple[StoredObject, ...]
     revision: int
     more: bool = False
 
@@ -53,13 +53,15 @@
     async def watch(self, kind: str, revision: int, wait: float) -> Page:
         """Wait up to ``wait`` s for changes; raise ``HistoryGoneError``."""
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
         """Create an object; False where one exists."""
 
-    async def put_status(self, kind: str, found: Stored, status: Any) -> bool:
+    async def put_status(
+        self, kind: str, found: StoredObject, status: Any
+    ) -> bool:
         """Replace a status; False where the object has changed since."""
 
     async def delete(self, kind: str, name: str) -> None:
@@ -70,7 +72,7 @@
     """The head of an upstream's answer."""
 
     status: int
-    headers: HeaderPairs
+    headers: HeaderTuple
     request_id: str
     genuine: bool
     not_run: bool
@@ -89,32 +91,34 @@
     """A caller asks for the body of an item."""
 
     job: str
-    wanted: str
+    item_id: str
 
 
-class EndJob(NamedTuple):
+class CancelJob(NamedTuple):
     """A caller ends a job."""
 
     job: str
 
 
-Operation = ReadResults | ReadBody | EndJob
+JobOperation = ReadResults | ReadBody | CancelJob
 
 
 class Dialect(Protocol):
     """The adapter's names and formats; it decides nothing."""
 
-    def read_operation(self, head: h11.Request) -> Operation | None:
+    def read_job_operation(self, head: h11.Request) -> JobOperation | None:
         """Recognize a call on batch jobs; None is an ordinary request."""
 
-    def read_call(self, head: h11.Request, body: bytes, now: float) -> Call:
+    def read_request(
+        self, head: h11.Request, body: bytes, now: float
+    ) -> Request:
         """Decode an ordinary request; raise ``RefusedError`` if unfit."""
 
     def read_items(self, body: bytes) -> tuple[ItemSpec, ...]:
         """Decode a job's items; raise ``RefusedError`` if unfit."""
 
     def upstream_headers(
-        self, call: Call, upstream: Upstream, left: float, last_event: int
+        self, call: Request, upstream: Upstream, left: float, last_event: int
     ) -> list[tuple[bytes, bytes]]:
         """Build the header of a request that has ``left`` s."""
 
@@ -135,17 +139,17 @@
         """Encode a page of results."""
 
 
-class Documents(Protocol):
+class DocumentDecoder(Protocol):
     """Decodes what operators and upstreams write into the store."""
 
-    def read_table(self, stored: Stored) -> Table | None:
+    def read_table(self, stored: StoredObject) -> RoutingTable | None:
         """Decode the configuration; None where it can't be read."""
 
-    def read_upstream(self, stored: Stored) -> Upstream | None:
+    def read_upstream(self, stored: StoredObject) -> Upstream | None:
         """Decode an upstream's entry; None where it can't be used."""
 
 
-class Kinds(NamedTuple):
+class ObjectKinds(NamedTuple):
     """Names of what others write into the store."""
 
     config: str
@@ -157,6 +161,6 @@
     """All that ties the gateway to one platform."""
 
     store: ObjectStore
-    documents: Documents
+    documents: DocumentDecoder
     dialect: Dialect
-    kinds: Kinds
+    kinds: ObjectKinds
--- a/gentiantrestle/gateway/queueing.py
+++ b/gentiantrestle/gateway/queueing.py
@@ -9,7 +9,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from gentiantrestle.gateway.model import Call, Route
+from gentiantrestle.gateway.model import Request, Route
 
 # Part of a route's latency target that may pass before a request is sent:
 # the rest is what an upstream needs for its first event.
@@ -31,17 +31,17 @@
     returned: bool
 
 
-def wait_rule(call: Call, route: Route, now: float) -> WaitRule:
+def wait_rule(call: Request, route: Route, now: float) -> WaitRule:
     """Return how long a request may wait for a slot, in s."""
     left = call.deadline - now
-    if call.returned:
+    if call.is_retry:
         return WaitRule(max(0, min(RETURNED_WAIT, left / 2)), returned=True)
     waited = now - call.received
-    own = route.target * WAIT_SHARE - waited
+    own = route.latency_target * WAIT_SHARE - waited
     return WaitRule(max(0, min(own, left / 2)), returned=False)
 
 
-def retry_after(expected: float, call: Call, now: float) -> float:
+def retry_after(expected: float, call: Request, now: float) -> float:
     """Return when a refused caller should come back, in s."""
     left = max(0, call.deadline - now)
     return round(min(max(MIN_RETRY_AFTER, expected), left * RETRY_SHARE), 2)
@@ -67,7 +67,7 @@
     """A waiting request; ``order`` decides who goes first."""
 
     order: tuple[int, int, int]
-    call: Call
+    call: Request
     give_up: float
 
 
@@ -85,7 +85,7 @@
         return len(self._heap) - len(self._left)
 
     def add(
-        self, call: Call, rule: WaitRule, priority: int, now: float
+        self, call: Request, rule: WaitRule, priority: int, now: float
     ) -> Ticket:
         """Queue a request behind those of its rank."""
         order = (int(not rule.returned), priority, next(self._numbers))
--- a/gentiantrestle/gateway/entry.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -11,13 +11,13 @@
 )
 from gentiantrestle.gateway.batch.api import Answer, JobApi, Terms
 from gentiantrestle.gateway.batch.parts import Clock
-from gentiantrestle.gateway.callers import Exchange
 from gentiantrestle.gateway.forward import Forwarder
-from gentiantrestle.gateway.model import Call, Route, RouteKind
+from gentiantrestle.gateway.http_server import Exchange
+from gentiantrestle.gateway.model import Request, Route, RouteKind
 from gentiantrestle.gateway.ports import (
+    CancelJob,
     Dialect,
-    EndJob,
-    Operation,
+    JobOperation,
     ReadBody,
 )
 from gentiantrestle.gateway.routing import Router, choose_service
@@ -52,12 +52,12 @@
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request; raises ``RefusedError`` to have it refused."""
         started = self._clock.now()
-        operation = self._dialect.read_operation(exchange.head)
+        operation = self._dialect.read_job_operation(exchange.head)
         if operation is not None:
             await _respond(exchange, await self._operate(operation))
             self.measure('batch-call', 'done', self._clock.now() - started)
             return
-        call = self._dialect.read_call(exchange.head, exchange.body, started)
+        call = self._dialect.read_request(exchange.head, exchange.body, started)
         outcome = 'left'
         route = None
         try:
@@ -69,14 +69,14 @@
         finally:
             self._note(call, route, outcome, started)
 
-    async def _operate(self, operation: Operation) -> Answer:
-        if isinstance(operation, EndJob):
+    async def _operate(self, operation: JobOperation) -> Answer:
+        if isinstance(operation, CancelJob):
             return await self._api.end(operation)
         if isinstance(operation, ReadBody):
             return await self._api.body(operation)
         return await self._api.read(operation)
 
-    def _find_route(self, call: Call) -> Route:
+    def _find_route(self, call: Request) -> Route:
         if not self._router.known:
             raise refuse(
                 NO_CONFIGURATION, 'No configuration is known yet', START_PAUSE
@@ -88,7 +88,7 @@
 
     async def _answer(
         self,
-        call: Call,
+        call: Request,
         route: Route,
         exchange: Exchange,
     ) -> str:
@@ -100,14 +100,14 @@
         left = call.deadline - call.received
         bounded = call._replace(
             deadline=call.received + min(left, route.timeout),
-            returned=left < route.timeout - RETURN_GAP,
+            is_retry=left < route.timeout - RETURN_GAP,
         )
         service = choose_service(route, call.id)
         return await self._forwarder.answer(bounded, route, service, exchange)
 
     def _note(
         self,
-        call: Call,
+        call: Request,
         route: Route | None,
         outcome: str,
         started: float,
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -6,7 +6,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.gateway.follow import LIST_ANEW, Sink
-from gentiantrestle.gateway.ports import ObjectStore, Stored
+from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -38,7 +38,7 @@
         """Return what a follower of the requests does."""
         return Sink(self._take, self._take, _nothing, _list_all)
 
-    def _take(self, found: Iterable[Stored], revision: int) -> None:
+    def _take(self, found: Iterable[StoredObject], revision: int) -> None:
         for stored in found:
             name = stored.name
             if stored.deleted or stored.status == self._completed:
--- a/gentiantrestle/gateway/routing.py
+++ b/gentiantrestle/gateway/routing.py
@@ -2,7 +2,7 @@
 
 import xxhash
 
-from gentiantrestle.gateway.model import NO_TABLE, Route, Table
+from gentiantrestle.gateway.model import EMPTY_TABLE, Route, RoutingTable
 
 HASH_SPAN = 0x100000000
 
@@ -12,7 +12,7 @@
 
     def __init__(self) -> None:
         """Start without a configuration."""
-        self.table = NO_TABLE
+        self.table = EMPTY_TABLE
         self._hosts: dict[str, list[Route]] = {}
 
     @property
@@ -20,7 +20,7 @@
         """Tell whether any configuration is in force."""
         return self.table.version > 0
 
-    def apply(self, table: Table) -> bool:
+    def apply(self, table: RoutingTable) -> bool:
         """Put a newer table in force; an older or equal one is ignored."""
         if table.version <= self.table.version:
             return False
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -6,21 +6,21 @@
 from collections.abc import Iterable
 
 from gentiantrestle import events
-from gentiantrestle.gateway.assembly import Plan, build_workplace
+from gentiantrestle.gateway.assembly import InstanceConfig, build_workplace
 from gentiantrestle.gateway.batch.api import JobApi
 from gentiantrestle.gateway.batch.parts import Clock
 from gentiantrestle.gateway.batch.reader import ResultReader
 from gentiantrestle.gateway.batch.records import JOB_KIND
-from gentiantrestle.gateway.callers import Callers
 from gentiantrestle.gateway.copies import Copies
-from gentiantrestle.gateway.entry import Entry
 from gentiantrestle.gateway.follow import Follower, Gate, Sink, Subject
 from gentiantrestle.gateway.forward import Forwarder, Means
-from gentiantrestle.gateway.measures import Measures
+from gentiantrestle.gateway.http_server import HttpServer
+from gentiantrestle.gateway.metrics import Metrics
 from gentiantrestle.gateway.peering import Peering, Work
 from gentiantrestle.gateway.peers import PeerList, run_name
-from gentiantrestle.gateway.ports import Adapter, Stored
+from gentiantrestle.gateway.ports import Adapter, StoredObject
 from gentiantrestle.gateway.pulses import Identity
+from gentiantrestle.gateway.request_handler import Entry
 from gentiantrestle.gateway.state import State
 from gentiantrestle.gateway.watching import WatchDuty
 from gentiantrestle.supervisor import Child, Supervisor
@@ -40,7 +40,7 @@
 class Gateway:
     """Children of the root supervisor, and their planned stop."""
 
-    def __init__(self, plan: Plan, adapter: Adapter) -> None:
+    def __init__(self, plan: InstanceConfig, adapter: Adapter) -> None:
         """Build the parts; nothing runs yet."""
         self._plan = plan
         self._adapter = adapter
@@ -51,7 +51,7 @@
             plan.instance,
             incarnation,
             plan.host,
-            plan.site.zone,
+            plan.topology.zone,
             plan.peer_port,
         )
         self._state = State(
@@ -59,19 +59,21 @@
         )
         self._state.on_change = self._wake
         workplace = build_workplace(
-            plan.site, adapter, self._state, self._clock, self._run_name
+            plan.topology, adapter, self._state, self._clock, self._run_name
         )
         self._parts = workplace.parts
         self._admission = workplace.admission
         self._runner = workplace.runner
         self._peers = PeerList(
-            plan.instance, plan.host, plan.site.zone, plan.seeds
+            plan.instance, plan.host, plan.topology.zone, plan.seeds
+        )
+        self._duty = WatchDuty(
+            plan.instance, plan.topology.zone, self._clock.now()
         )
-        self._duty = WatchDuty(plan.instance, plan.site.zone, self._clock.now())
         self._gate = Gate()
         self._followers = dict(self._build_followers())
         self._peering = self._build_peering()
-        self.measures = self._build_measures()
+        self.metrics = self._build_measures()
         self.callers = self._build_callers()
 
     @property
@@ -81,7 +83,7 @@
 
     async def run(self) -> None:
         """Run all children until cancelled."""
-        callers = self._plan.callers
+        callers = self._plan.http_address
         await self.callers.start(callers.host, callers.port)
         await Supervisor(tuple(self._children()), self._clock.now).run()
 
@@ -178,7 +180,7 @@
         else:
             self._gate.clear()
 
-    def _build_callers(self) -> Callers:
+    def _build_callers(self) -> HttpServer:
         dialect = self._adapter.dialect
         means = Means(
             self._admission, self._parts.placement, dialect, self._clock.now
@@ -188,15 +190,15 @@
         entry = Entry(
             self._state.router, Forwarder(means), api, dialect, self._clock
         )
-        entry.measure = self.measures.note_answer
-        return Callers(
+        entry.measure = self.metrics.note_answer
+        return HttpServer(
             entry.handle,
             dialect.write_refusal,
             lambda: self._state.router.table.limits,
         )
 
-    def _build_measures(self) -> Measures:
-        measures = Measures(self._plan.instance, self._plan.site.zone)
+    def _build_measures(self) -> Metrics:
+        measures = Metrics(self._plan.instance, self._plan.topology.zone)
         for name, text, read in (
             ('active', 'Requests being answered.', self._count_active),
             ('waiting', 'Requests that wait for a slot.', self._count_waiting),
@@ -218,7 +220,7 @@
     def _tell_store(self) -> int:
         return int(self._is_connected())
 
-    def _take_jobs(self, found: Iterable[Stored], revision: int) -> None:
+    def _take_jobs(self, found: Iterable[StoredObject], revision: int) -> None:
         self._parts.job_store.take_in(found, revision)
         self._runner.wake()
 
--- a/gentiantrestle/gateway/settling.py
+++ b/gentiantrestle/gateway/settling.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from gentiantrestle import events
-from gentiantrestle.gateway.ports import ObjectStore, Page, Stored
+from gentiantrestle.gateway.ports import ObjectStore, Page, StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -51,7 +51,7 @@
         """Wait up to ``wait`` s for changes of a kind after a revision."""
         return await self._store.watch(kind, revision, wait)
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
         return await self._store.get(kind, name)
 
@@ -61,7 +61,9 @@
             name, lambda: self._store.create(kind, name, content)
         )
 
-    async def put_status(self, kind: str, found: Stored, status: Any) -> bool:
+    async def put_status(
+        self, kind: str, found: StoredObject, status: Any
+    ) -> bool:
         """Replace a status; False where the object has changed.
 
         That may be this call's own change, if its first answer was lost.
--- a/gentiantrestle/gateway/sse.py
+++ b/gentiantrestle/gateway/sse.py
@@ -7,7 +7,7 @@
 DATA_FIELD = b'data:'
 
 
-class OrderError(Exception):
+class EventOrderError(Exception):
     """A stream went back: an event's id is not above the last one."""
 
 
@@ -15,7 +15,7 @@
     """One whole event: its bytes, its id (0 if none) and its data."""
 
     raw: bytes
-    number: int
+    event_id: int
     data: str
 
 
@@ -24,7 +24,7 @@
 
     def __init__(self, last: int) -> None:
         """Start after the event with the id ``last``."""
-        self.last = last
+        self.last_id = last
         self._rest = b''
 
     @property
@@ -33,7 +33,7 @@
         return self._rest
 
     def feed(self, part: bytes) -> list[Event]:
-        """Return the events that are now whole; raise ``OrderError``."""
+        """Return the events that are now whole; raise ``EventOrderError``."""
         pieces = (self._rest + part).split(EVENT_END)
         self._rest = pieces.pop()
         found = [parse_event(piece) for piece in pieces]
@@ -42,11 +42,13 @@
         return found
 
     def _check(self, event: Event) -> None:
-        if not event.number:
+        if not event.event_id:
             return
-        if event.number <= self.last:
-            raise OrderError(f'event {event.number} after {self.last}')
-        self.last = event.number
+        if event.event_id <= self.last_id:
+            raise EventOrderError(
+                f'event {event.event_id} after {self.last_id}'
+            )
+        self.last_id = event.event_id
 
 
 def parse_event(piece: bytes) -> Event:
--- a/gentiantrestle/gateway/state.py
+++ b/gentiantrestle/gateway/state.py
@@ -6,7 +6,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.gateway.follow import LIST_ANEW, Sink
-from gentiantrestle.gateway.ports import Documents, Stored
+from gentiantrestle.gateway.ports import DocumentDecoder, StoredObject
 from gentiantrestle.gateway.roster import Roster
 from gentiantrestle.gateway.routing import Router
 
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        documents: Documents,
+        documents: DocumentDecoder,
         config_name: str,
         now: Callable[[], float],
     ) -> None:
@@ -26,8 +26,8 @@
         self._documents = documents
         self._config_name = config_name
         self._now = now
-        self.config: Stored | None = None
-        self.upstreams: dict[str, Stored] = {}
+        self.config: StoredObject | None = None
+        self.upstreams: dict[str, StoredObject] = {}
         # The same entries have the same mark, whoever knows them.
         self.upstreams_mark = 0
         self.on_change: Callable[[], None] = _nothing
@@ -69,7 +69,7 @@
             lambda: self.revision,
         )
 
-    def apply_config(self, stored: Stored) -> None:
+    def apply_config(self, stored: StoredObject) -> None:
         """Put a configuration in force if it is newer."""
         table = self._documents.read_table(stored)
         if table is None or not self.router.apply(table):
@@ -85,7 +85,7 @@
 
     def replace_upstreams(
         self,
-        found: Iterable[Stored],
+        found: Iterable[StoredObject],
         revision: int,
     ) -> None:
         """Take in the whole list of entries."""
@@ -99,7 +99,7 @@
 
     def change_upstreams(
         self,
-        found: Iterable[Stored],
+        found: Iterable[StoredObject],
         revision: int,
     ) -> None:
         """Take in changed entries, in the order of their changes."""
@@ -111,12 +111,14 @@
                 self._put(stored, now)
         self._note(revision)
 
-    def _take_config(self, found: Iterable[Stored], revision: int) -> None:
+    def _take_config(
+        self, found: Iterable[StoredObject], revision: int
+    ) -> None:
         for stored in found:
             if stored.name == self._config_name and not stored.deleted:
                 self.apply_config(stored)
 
-    def _put(self, stored: Stored, now: float) -> None:
+    def _put(self, stored: StoredObject, now: float) -> None:
         known = self.upstreams.get(stored.name)
         if known is not None and known.revision >= stored.revision:
             return
@@ -149,7 +151,7 @@
         self.on_change()
 
 
-def _fingerprint(entries: Iterable[Stored]) -> int:
+def _fingerprint(entries: Iterable[StoredObject]) -> int:
     listed = sorted((one.name, one.revision) for one in entries)
     return xxhash.xxh32_intdigest(repr(listed).encode())
 
--- a/gentiantrestle/gateway/sending.py
+++ b/gentiantrestle/gateway/upstream_connection.py
@@ -20,11 +20,11 @@
 MAX_HEADER = 65536  # bytes
 
 
-class SendLostError(Exception):
+class ResponseLostError(Exception):
     """No genuine whole answer came; the request may have run."""
 
 
-class Message(NamedTuple):
+class UpstreamRequest(NamedTuple):
     """What is sent to an upstream."""
 
     request_id: str
@@ -34,7 +34,7 @@
     body: bytes
 
 
-class Sending:
+class UpstreamConnection:
     """One attempt on the wire; the connection is not used again.
 
     A connection of its own for each attempt rules out that bytes of one
@@ -46,16 +46,16 @@
         self._dialect = dialect
         self._link: Link | None = None
 
-    async def open(self, upstream: Upstream) -> None:
+    async def connect(self, upstream: Upstream) -> None:
         """Connect, or raise ``LinkRefusedError``: nothing was sent."""
         self._link = await open_link(
             upstream.address, CONNECT_TIMEOUT, MAX_HEADER
         )
 
-    async def start(self, message: Message) -> Reply:
+    async def send(self, message: UpstreamRequest) -> Reply:
         """Send the request and wait for the head of a genuine answer.
 
-        Raises ``SendLostError``, and ``LinkRefusedError`` if the request
+        Raises ``ResponseLostError``, and ``LinkRefusedError`` if the request
         can't be written as HTTP.
         """
         head = _encode_head(message)
@@ -65,16 +65,16 @@
             )
             reply = await self._read_head()
         except (LinkLostError, h11.ProtocolError) as exc:
-            raise SendLostError(repr(exc)) from exc
+            raise ResponseLostError(repr(exc)) from exc
         if not reply.genuine or reply.request_id not in {
             '',
             message.request_id,
         }:
-            raise SendLostError('not the answer to this request')
+            raise ResponseLostError('not the answer to this request')
         return reply
 
-    async def parts(self, stall: float | None) -> AsyncIterator[bytes]:
-        """Pass the body on until it is whole; raise ``SendLostError``.
+    async def iter_body(self, stall: float | None) -> AsyncIterator[bytes]:
+        """Pass the body on until it is whole; raise ``ResponseLostError``.
 
         ``stall`` is the longest silence in s; None waits for ever.
         """
@@ -83,9 +83,9 @@
             yield bytes(event.data)
             event = await self._next(stall)
 
-    async def read(self, stall: float | None) -> bytes:
+    async def read_body(self, stall: float | None) -> bytes:
         """Collect the whole body."""
-        return b''.join([part async for part in self.parts(stall)])
+        return b''.join([part async for part in self.iter_body(stall)])
 
     def close(self) -> None:
         """Reset the connection; an upstream at work stops."""
@@ -97,10 +97,10 @@
             async with asyncio.timeout(stall):
                 event = await self._link.event()
         except (LinkLostError, h11.ProtocolError, TimeoutError) as exc:
-            raise SendLostError(repr(exc)) from exc
+            raise ResponseLostError(repr(exc)) from exc
         if isinstance(event, h11.Data | h11.EndOfMessage):
             return event
-        raise SendLostError('closed early')
+        raise ResponseLostError('closed early')
 
     async def _read_head(self) -> Reply:
         while True:
@@ -111,7 +111,7 @@
                 raise LinkLostError('closed early')
 
 
-def _encode_head(message: Message) -> h11.Request:
+def _encode_head(message: UpstreamRequest) -> h11.Request:
     length = (b'content-length', str(len(message.body)).encode())
     try:
         return h11.Request(
--- a/gentiantrestle/platform/dialect.py
+++ b/gentiantrestle/platform/dialect.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from gentiantrestle.errors import BAD_REQUEST, Refusal, refuse
-from gentiantrestle.gateway.headers import forwardable
-from gentiantrestle.gateway.model import Call, ItemResult, ItemSpec, Upstream
+from gentiantrestle.gateway.headers import forwardable_headers
+from gentiantrestle.gateway.model import ItemResult, ItemSpec, Request, Upstream
 from gentiantrestle.gateway.ports import (
-    EndJob,
-    Operation,
+    CancelJob,
+    JobOperation,
     ReadBody,
     ReadResults,
     Reply,
@@ -55,7 +55,7 @@
 class PlatformDialect:
     """Speaks as the platform's callers and servers do."""
 
-    def read_operation(self, head: h11.Request) -> Operation | None:
+    def read_job_operation(self, head: h11.Request) -> JobOperation | None:
         """Recognize a call on batch jobs; None is an ordinary request."""
         path, _, query = head.target.decode('latin-1').partition('?')
         arguments = parse_qs(query)
@@ -64,7 +64,7 @@
             return ReadBody(match[1], arguments.get('id', [''])[0])
         match = RESULTS_PATH.fullmatch(path)
         if match and head.method == b'DELETE':
-            return EndJob(match[1])
+            return CancelJob(match[1])
         if match and head.method == b'GET':
             after = arguments.get('after', ['0'])[0]
             wait = _number(dict(head.headers).get(WAIT)) * MS
@@ -72,19 +72,21 @@
             return ReadResults(match[1], position, min(MAX_WAIT, wait))
         return None
 
-    def read_call(self, head: h11.Request, body: bytes, now: float) -> Call:
+    def read_request(
+        self, head: h11.Request, body: bytes, now: float
+    ) -> Request:
         """Decode an ordinary request; raise ``RefusedError`` if unfit."""
         fields = dict(head.headers)
         request_id = fields.get(REQUEST_ID, b'').decode('latin-1')
         if not ID.fullmatch(request_id):
             raise refuse(BAD_REQUEST, 'The request has no usable id')
         left = _number(fields.get(TIME_LEFT)) * MS or MAX_DEADLINE
-        return Call(
+        return Request(
             request_id,
             head.method.decode(),
             head.target.decode('latin-1'),
             fields.get(HOST, b'').decode('latin-1'),
-            forwardable(head.headers, REPLACED),
+            forwardable_headers(head.headers, REPLACED),
             body,
             now,
             now + left,
@@ -106,7 +108,7 @@
 
     def upstream_headers(
         self,
-        call: Call,
+        call: Request,
         upstream: Upstream,
         left: float,
         last_event: int,
@@ -133,7 +135,7 @@
         return [
             (HOST, host.encode()),
             (REQUEST_ID, spec.id.encode()),
-            *forwardable(own, REPLACED_FOR_ITEMS),
+            *forwardable_headers(own, REPLACED_FOR_ITEMS),
             *_common(upstream, last_event),
         ]
 
@@ -144,7 +146,7 @@
         whole = STAMP in fields and ENCODING not in fields
         return Reply(
             head.status_code,
-            forwardable(head.headers),
+            forwardable_headers(head.headers),
             fields.get(REQUEST_ID, b'').decode('latin-1'),
             genuine=whole or head.status_code >= FIRST_FAILURE,
             not_run=refused,
--- a/gentiantrestle/platform/documents.py
+++ b/gentiantrestle/platform/documents.py
@@ -9,12 +9,12 @@
     CallerLimits,
     Route,
     RouteKind,
+    RoutingTable,
     Service,
     Share,
-    Table,
     Upstream,
 )
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.models import Address
 
 CONFIG_KIND = 'config'
@@ -37,7 +37,7 @@
 class StoreDocuments:
     """Decodes the platform's kinds; what can't be read is logged."""
 
-    def read_table(self, stored: Stored) -> Table | None:
+    def read_table(self, stored: StoredObject) -> RoutingTable | None:
         """Decode the configuration; None where it can't be read."""
         try:
             return _table(stored.content)
@@ -47,7 +47,7 @@
             )
             return None
 
-    def read_upstream(self, stored: Stored) -> Upstream | None:
+    def read_upstream(self, stored: StoredObject) -> Upstream | None:
         """Decode a server's entry; None where it names no usable one."""
         try:
             return _upstream(stored.name, stored.content)
@@ -58,9 +58,9 @@
             return None
 
 
-def _table(told: Mapping[str, Any]) -> Table:
+def _table(told: Mapping[str, Any]) -> RoutingTable:
     limits = told['limits']
-    return Table(
+    return RoutingTable(
         version=int(told['version']),
         routes=tuple(_route(one) for one in told['routes']),
         services={
@@ -84,7 +84,7 @@
         prefix=told['path-prefix'],
         kind=KINDS[told['route-kind']],
         timeout=told['timeout-ms'] * MS,
-        target=told['latency-target-ms'] * MS,
+        latency_target=told['latency-target-ms'] * MS,
         priority=int(told.get('priority', 0)),
         shares=tuple(
             Share(one['service'], float(one.get('weight', 1))) for one in split
@@ -106,7 +106,7 @@
         zone=_text(told['zone']),
         slots=_whole(told['slots']),
         draining=STATES[told['state']],
-        born=_whole(told.get('born', 0)),
+        incarnation=_whole(told.get('born', 0)),
     )
 
 
--- a/gentiantrestle/platform/objects.py
+++ b/gentiantrestle/platform/objects.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gentiantrestle import events
-from gentiantrestle.gateway.ports import HistoryGoneError, Page, Stored
+from gentiantrestle.gateway.ports import HistoryGoneError, Page, StoredObject
 from gentiantrestle.http.client import Call, LostError, NotSentError, Pool
 from gentiantrestle.models import Address
 from gentiantrestle.store.client import (
@@ -70,7 +70,7 @@
         )
         return Page(found, body['as-of'])
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
         status, body = await self._call('GET', _path(kind, name))
         return None if status == NOT_FOUND else _stored(body)
@@ -81,7 +81,9 @@
         status, _ = await self._call('POST', _path(kind), body=document)
         return status != CONFLICT
 
-    async def put_status(self, kind: str, found: Stored, status: Any) -> bool:
+    async def put_status(
+        self, kind: str, found: StoredObject, status: Any
+    ) -> bool:
         """Replace a status; False where the object has changed since."""
         document = {
             'metadata': {'name': found.name, 'revision': found.revision},
@@ -152,9 +154,9 @@
     )
 
 
-def _stored(told: dict[str, Any], *, deleted: bool = False) -> Stored:
+def _stored(told: dict[str, Any], *, deleted: bool = False) -> StoredObject:
     metadata = told['metadata']
-    return Stored(
+    return StoredObject(
         metadata['name'],
         metadata['revision'],
         told.get('spec'),
--- a/gentiantrestle/platform/readiness.py
+++ b/gentiantrestle/platform/readiness.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from gentiantrestle.gateway.callers import Exchange
+from gentiantrestle.gateway.http_server import Exchange
 
 PATH = b'/gentiantrestle/readyz'
 
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -8,11 +8,11 @@
 
 from gentiantrestle import events
 from gentiantrestle.config import Settings
-from gentiantrestle.gateway.assembly import Plan
+from gentiantrestle.gateway.assembly import InstanceConfig
 from gentiantrestle.gateway.follow import Follower, Gate, Subject
-from gentiantrestle.gateway.listener import listen
-from gentiantrestle.gateway.placement import Site
-from gentiantrestle.gateway.ports import Adapter, Kinds
+from gentiantrestle.gateway.monitoring import start_monitoring_server
+from gentiantrestle.gateway.placement import Topology
+from gentiantrestle.gateway.ports import Adapter, ObjectKinds
 from gentiantrestle.gateway.retirement import Retirement
 from gentiantrestle.gateway.service import Gateway
 from gentiantrestle.models import Address
@@ -54,9 +54,9 @@
 async def serve(node: NodeSettings, cfg: Settings) -> int:
     """Serve callers until a signal comes."""
     gateway = Gateway(
-        Plan(
+        InstanceConfig(
             node.instance,
-            Site(node.zone, node.regions),
+            Topology(node.zone, node.regions),
             node.host,
             node.callers,
             node.peer_port,
@@ -67,14 +67,14 @@
             ObjectClient(node.store),
             StoreDocuments(),
             PlatformDialect(),
-            Kinds(CONFIG_KIND, CONFIG_NAME, SERVER_KIND),
+            ObjectKinds(CONFIG_KIND, CONFIG_NAME, SERVER_KIND),
         ),
     )
     readiness = Readiness(lambda: gateway.ready)
-    await listen(readiness.answer, node.readiness)
+    await start_monitoring_server(readiness.answer, node.readiness)
     if cfg.metrics_port:
         address = Address(node.host, cfg.metrics_port)
-        await listen(gateway.measures.answer, address)
+        await start_monitoring_server(gateway.metrics.answer, address)
     root = asyncio.create_task(gateway.run())
     return await _run_until_stopped(node, root, gateway.stop)
 
--- a/tests/gateway/memory.py
+++ b/tests/gateway/memory.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from gentiantrestle.gateway.ports import HistoryGoneError, Page, Stored
+from gentiantrestle.gateway.ports import HistoryGoneError, Page, StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -16,12 +16,12 @@
     def __init__(self) -> None:
         """Start empty and sound."""
         self.revision = 1
-        self.kinds: dict[str, dict[str, Stored]] = {}
+        self.kinds: dict[str, dict[str, StoredObject]] = {}
         self.down = False
         self.lose_answers = 0
         self.calls: list[str] = []
         self.compacted = 0
-        self._changes: list[tuple[str, Stored]] = []
+        self._changes: list[tuple[str, StoredObject]] = []
 
     async def list_page(
         self, kind: str, after: str, *, stale: bool = False
@@ -42,7 +42,7 @@
             found = self._since(kind, revision)
         return Page(found, self.revision)
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
         self._begin('get')
         return self.kinds.get(kind, {}).get(name)
@@ -52,11 +52,13 @@
         self._begin('create')
         if name in self.kinds.setdefault(kind, {}):
             return False
-        self.write(kind, Stored(name, 0, content))
+        self.write(kind, StoredObject(name, 0, content))
         self._end()
         return True
 
-    async def put_status(self, kind: str, found: Stored, status: Any) -> bool:
+    async def put_status(
+        self, kind: str, found: StoredObject, status: Any
+    ) -> bool:
         """Replace a status under the object's revision."""
         self._begin('status')
         known = self.kinds.get(kind, {}).get(found.name)
@@ -75,7 +77,7 @@
             gone = gone._replace(revision=self.revision, deleted=True)
             self._changes.append((kind, gone))
 
-    def write(self, kind: str, stored: Stored) -> None:
+    def write(self, kind: str, stored: StoredObject) -> None:
         """Put an object under the next revision."""
         self.revision += 1
         stored = stored._replace(revision=self.revision)
@@ -87,7 +89,7 @@
         self.compacted = self.revision + 1
         self._changes.clear()
 
-    def _since(self, kind: str, revision: int) -> tuple[Stored, ...]:
+    def _since(self, kind: str, revision: int) -> tuple[StoredObject, ...]:
         return tuple(
             stored
             for changed, stored in self._changes
--- a/tests/gateway/samples.py
+++ b/tests/gateway/samples.py
@@ -3,14 +3,14 @@
 from typing import Any
 
 from gentiantrestle.gateway.model import (
-    Call,
     CallerLimits,
     ItemSpec,
     Job,
+    Request,
     Route,
     RouteKind,
+    RoutingTable,
     Share,
-    Table,
     Upstream,
 )
 from gentiantrestle.models import Address
@@ -20,7 +20,7 @@
 ZONES = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
 
 
-def route(**changes: Any) -> Route:
+def make_route(**changes: Any) -> Route:
     """Return a streaming route with some fields changed."""
     plain = Route(
         name='chat',
@@ -28,7 +28,7 @@
         prefix='/chat/',
         kind=RouteKind.STREAM,
         timeout=5,
-        target=0.3,
+        latency_target=0.3,
         priority=0,
         shares=(Share(ENGINES, 1),),
         max_attempts=2,
@@ -37,7 +37,7 @@
     return plain._replace(**changes)
 
 
-def batch_route(**changes: Any) -> Route:
+def make_batch_route(**changes: Any) -> Route:
     """Return a batch route with some fields changed."""
     fields = {
         'name': 'lists',
@@ -47,27 +47,29 @@
         'retention': 60.0,
         'max_attempts': 3,
     }
-    return route(**(fields | changes))
+    return make_route(**(fields | changes))
 
 
-def table(*routes: Route, version: int = 1) -> Table:
+def make_table(*routes: Route, version: int = 1) -> RoutingTable:
     """Return a configuration of some routes."""
-    return Table(version, routes, {}, CallerLimits())
+    return RoutingTable(version, routes, {}, CallerLimits())
 
 
-def upstream(name: str, **changes: Any) -> Upstream:
+def make_upstream(name: str, **changes: Any) -> Upstream:
     """Return a ready engine with some fields changed."""
     plain = Upstream(name, ENGINES, Address('127.0.0.1', 9), 'a1', 8, False, 1)
     return plain._replace(**changes)
 
 
-def call(name: str, now: float = 0, **changes: Any) -> Call:
+def make_request(name: str, now: float = 0, **changes: Any) -> Request:
     """Return a caller's request that came at ``now``."""
-    plain = Call(name, 'POST', '/chat/1', HOST, (), b'', now, now + 5, False, 0)
+    plain = Request(
+        name, 'POST', '/chat/1', HOST, (), b'', now, now + 5, False, 0
+    )
     return plain._replace(**changes)
 
 
-def job(name: str = 'job1', count: int = 2, **changes: Any) -> Job:
+def make_job(name: str = 'job1', count: int = 2, **changes: Any) -> Job:
     """Return a job with some items."""
     specs = tuple(
         ItemSpec(f'{name}-{number}', 100, '/lists/x', {'x-model': 'm'}, b'{}')
--- a/tests/gateway/test_adapter.py
+++ b/tests/gateway/test_adapter.py
@@ -8,16 +8,16 @@
 from gentiantrestle.errors import OVERLOADED, Refusal, RefusedError
 from gentiantrestle.gateway.model import RouteKind
 from gentiantrestle.gateway.ports import (
-    EndJob,
+    CancelJob,
     ReadBody,
     ReadResults,
-    Stored,
+    StoredObject,
 )
 from gentiantrestle.models import Address
 from gentiantrestle.platform.dialect import PlatformDialect
 from gentiantrestle.platform.documents import StoreDocuments
 from gentiantrestle.platform.settings import NodeSettings, SettingsError
-from tests.gateway.samples import call, upstream
+from tests.gateway.samples import make_request, make_upstream
 from tests.gateway.written import routes
 
 SETTINGS = {
@@ -88,29 +88,29 @@
 def test_an_entry_of_another_writer_names_no_upstream(
     changes: dict[str, Any],
 ) -> None:
-    stored = Stored('u1', 3, {**ENTRY, **changes})
+    stored = StoredObject('u1', 3, {**ENTRY, **changes})
     assert StoreDocuments().read_upstream(stored) is None
 
 
 @pytest.mark.parametrize('content', [None, 7, 'text', [], {}])
 def test_what_is_no_entry_at_all_is_passed_over(content: Any) -> None:
-    stored = Stored('u1', 3, content)
+    stored = StoredObject('u1', 3, content)
     assert StoreDocuments().read_upstream(stored) is None
     assert StoreDocuments().read_table(stored) is None
 
 
 def test_an_entry_is_decoded() -> None:
-    found = StoreDocuments().read_upstream(Stored('u1', 3, ENTRY))
+    found = StoreDocuments().read_upstream(StoredObject('u1', 3, ENTRY))
     assert found is not None
     assert (found.id, found.slots, found.draining) == ('u1', 8, False)
 
 
 def test_a_configuration_is_decoded_into_s() -> None:
-    found = StoreDocuments().read_table(Stored('main', 3, CONFIG))
+    found = StoreDocuments().read_table(StoredObject('main', 3, CONFIG))
     assert found is not None
     kinds = {one.name: one.kind for one in found.routes}
     assert kinds['chat'] is RouteKind.STREAM
-    assert found.routes[0].target == pytest.approx(0.3)
+    assert found.routes[0].latency_target == pytest.approx(0.3)
     assert found.limits.idle_timeout == pytest.approx(15)
     assert not next(one for one in found.routes if one.name == 'pay').idempotent
 
@@ -148,7 +148,7 @@
             ReadResults('j1', 3, 1.0),
         ),
         ('GET', '/gentiantrestle/items/j1?id=i2', ReadBody('j1', 'i2')),
-        ('DELETE', '/gentiantrestle/lots/j1', EndJob('j1')),
+        ('DELETE', '/gentiantrestle/lots/j1', CancelJob('j1')),
         ('GET', '/gentiantrestle/lots/', None),
         ('POST', '/gentiantrestle/lots/j1', None),
     ],
@@ -157,7 +157,7 @@
     method: str, target: str, wanted: object
 ) -> None:
     head = _head(method, target, ('X-Wait-Ms', '1000'))
-    assert PlatformDialect().read_operation(head) == wanted
+    assert PlatformDialect().read_job_operation(head) == wanted
 
 
 def test_fields_of_one_connection_are_not_passed_on() -> None:
@@ -170,9 +170,9 @@
         ('X-Private', '1'),
         ('X-Model', 'm'),
     )
-    one = PlatformDialect().read_call(head, b'', 100)
+    one = PlatformDialect().read_request(head, b'', 100)
     assert one.deadline == pytest.approx(105)
-    sent = PlatformDialect().upstream_headers(one, upstream('u1'), 2.5, 4)
+    sent = PlatformDialect().upstream_headers(one, make_upstream('u1'), 2.5, 4)
     assert dict(sent) == {
         b'host': b'x',
         b'x-attempt-id': b'r1',
@@ -185,8 +185,8 @@
 
 def test_a_request_without_id_is_refused() -> None:
     with pytest.raises(RefusedError):
-        PlatformDialect().read_call(_head('GET', '/'), b'', 0)
-    assert call('r1').id == 'r1'
+        PlatformDialect().read_request(_head('GET', '/'), b'', 0)
+    assert make_request('r1').id == 'r1'
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -29,13 +29,13 @@
 from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
 from gentiantrestle.gateway.model import ItemResult
 from gentiantrestle.gateway.peers import SILENCE
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
 )
 from tests.gateway.memory import MemoryStore
-from tests.gateway.samples import batch_route, job
+from tests.gateway.samples import make_batch_route, make_job
 from tests.utils.virtual import play
 
 
@@ -49,18 +49,18 @@
 
 
 def test_a_job_reads_back_as_it_was_handed_in() -> None:
-    one = job(count=3)
-    stored = Stored(one.id, 5, job_to_content(one), {'state': 'ended'})
+    one = make_job(count=3)
+    stored = StoredObject(one.id, 5, job_to_content(one), {'state': 'ended'})
     read = job_from_stored(stored).job
     assert with_bodies(read, bodies_to_content(one)) == one.items
-    assert read._replace(items=one.items) == one._replace(ended=True)
+    assert read._replace(items=one.items) == one._replace(cancelled=True)
     assert b'{}' not in repr(stored).encode()
 
 
 async def test_who_takes_a_job_over_reads_its_bodies() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
-    await job_store.accept(job())
+    await job_store.accept(make_job())
     other, _ = _instance(store)
     entry = await other.find('job1')
     assert entry is not None
@@ -73,8 +73,8 @@
     store = MemoryStore()
     first, _ = _instance(store)
     second, _ = _instance(store)
-    assert await first.accept(job())
-    assert not await second.accept(job())
+    assert await first.accept(make_job())
+    assert not await second.accept(make_job())
 
 
 async def test_a_lost_answer_is_not_called_not_accepted() -> None:
@@ -83,15 +83,15 @@
     store.lose_answers = 2
     for _ in range(2):
         with pytest.raises(StoreUnsureError):
-            await job_store.accept(job())
-    assert not await job_store.accept(job())
+            await job_store.accept(make_job())
+    assert not await job_store.accept(make_job())
 
 
 async def test_positions_are_fixed_when_two_run_the_same_job() -> None:
     store = MemoryStore()
     one, one_index = _instance(store)
     two, two_index = _instance(store)
-    await one.accept(job())
+    await one.accept(make_job())
     await two.find('job1')
     await one.list_results(one_index.entries['job1'], (_result(0, 'mine'),))
     both = (_result(0, 'other'), _result(1))
@@ -106,7 +106,7 @@
     async def run() -> MemoryStore:
         store = MemoryStore()
         job_store, index = _instance(store)
-        await job_store.accept(job())
+        await job_store.accept(make_job())
         store.lose_answers = 1
         await job_store.list_results(index.entries['job1'], (_result(0),))
         return store
@@ -118,7 +118,7 @@
 async def test_only_the_acceptor_of_this_very_run_knows_without_store() -> None:
     store = MemoryStore()
     job_store, index = _instance(store)
-    await job_store.accept(job())
+    await job_store.accept(make_job())
     assert index.entries['job1'].sole
     restarted, _ = _instance(store)
     entry = await restarted.find('job1')
@@ -134,7 +134,7 @@
 async def test_an_end_holds_and_what_is_listed_stays() -> None:
     store = MemoryStore()
     job_store, index = _instance(store)
-    await job_store.accept(job())
+    await job_store.accept(make_job())
     await job_store.list_results(index.entries['job1'], (_result(0),))
     assert await job_store.end('job1')
     assert await job_store.end('job1')
@@ -154,13 +154,13 @@
 async def test_an_unreadable_job_is_passed_over() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
-    store.write(JOB_KIND, Stored('odd', 0, {'items': 7}))
+    store.write(JOB_KIND, StoredObject('odd', 0, {'items': 7}))
     assert await job_store.find('odd') is None
 
 
 def test_a_run_that_died_is_replaced_by_one_that_lives() -> None:
     index = JobIndex()
-    entry = index.put(JobRecord(job(), Stored('job1', 1, {})))
+    entry = index.put(JobRecord(make_job(), StoredObject('job1', 1, {})))
     assert runner_of(entry, ['one/1', 'two/1']) == 'one/1'
     chosen = runner_of(entry, ['two/1', 'one/2', 'three/1'])
     assert chosen in {'two/1', 'one/2', 'three/1'}
@@ -169,7 +169,7 @@
 
 def test_one_that_has_just_started_takes_no_job_of_others() -> None:
     index = JobIndex()
-    entry = index.put(JobRecord(job(), Stored('job1', 1, {})))
+    entry = index.put(JobRecord(make_job(), StoredObject('job1', 1, {})))
     assert runs_here(entry, 'one/1', [], 0)
     assert not runs_here(entry, 'two/1', [], SILENCE / 2)
     assert runs_here(entry, 'two/1', [], SILENCE)
@@ -178,10 +178,12 @@
 
 def test_the_shortest_item_that_can_be_in_time_goes_first() -> None:
     index = JobIndex()
-    long = index.put(JobRecord(job('long'), Stored('long', 1, {})))
-    short = index.put(JobRecord(job('short'), Stored('short', 1, {})))
-    lost = index.put(JobRecord(job('lost'), Stored('lost', 1, {})))
-    pairs = [(one, batch_route()) for one in (long, lost, short)]
+    long = index.put(JobRecord(make_job('long'), StoredObject('long', 1, {})))
+    short = index.put(
+        JobRecord(make_job('short'), StoredObject('short', 1, {}))
+    )
+    lost = index.put(JobRecord(make_job('lost'), StoredObject('lost', 1, {})))
+    pairs = [(one, make_batch_route()) for one in (long, lost, short)]
     needs = {
         'long': Need(900, 2),
         'short': Need(100, 9),
@@ -223,14 +225,16 @@
     accepted: int, known: int, abandoned: bool
 ) -> None:
     index = JobIndex()
-    one = job(version=accepted)
-    entry = index.put(JobRecord(one, Stored('job1', 1, {})))
+    one = make_job(version=accepted)
+    entry = index.put(JobRecord(one, StoredObject('job1', 1, {})))
     assert is_abandoned(entry, None, known, 1) == abandoned
 
 
 def test_retention_is_over_on_every_clock_before_items_are_given_up() -> None:
     index = JobIndex()
-    entry = index.put(JobRecord(job(submitted=100), Stored('job1', 1, {})))
-    kept = batch_route(retention=60)
+    entry = index.put(
+        JobRecord(make_job(submitted=100), StoredObject('job1', 1, {}))
+    )
+    kept = make_batch_route(retention=60)
     assert not is_abandoned(entry, kept, 1, 162)
     assert is_abandoned(entry, kept, 1, 166)
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -19,24 +19,29 @@
     far_gap,
     far_silence,
 )
-from gentiantrestle.gateway.placement import Placement, Site
+from gentiantrestle.gateway.placement import Placement, Topology
 from gentiantrestle.gateway.queueing import (
     AdmissionQueue,
     retry_after,
     wait_rule,
 )
+from gentiantrestle.gateway.retry_policy import (
+    Outcome,
+    Progress,
+    Step,
+    next_step,
+)
 from gentiantrestle.gateway.roster import LAPSE_GRACE, Roster
 from gentiantrestle.gateway.routing import Router, choose_service
-from gentiantrestle.gateway.sse import EventSplitter, OrderError
-from gentiantrestle.gateway.steps import Outcome, Progress, Step, next_step
+from gentiantrestle.gateway.sse import EventOrderError, EventSplitter
 from tests.gateway.samples import (
     ENGINES,
     HOST,
     ZONES,
-    call,
-    route,
-    table,
-    upstream,
+    make_request,
+    make_route,
+    make_table,
+    make_upstream,
 )
 
 
@@ -54,21 +59,23 @@
     host: str, target: str, name: str | None
 ) -> None:
     router = Router()
-    router.apply(table(route(), route(name='new', prefix='/chat/new/')))
+    router.apply(
+        make_table(make_route(), make_route(name='new', prefix='/chat/new/'))
+    )
     found = router.match(host, target)
     assert (found and found.name) == name
 
 
 def test_an_older_configuration_never_comes_back() -> None:
     router = Router()
-    assert router.apply(table(route(), version=7))
-    assert not router.apply(table(version=6))
-    assert not router.apply(table(version=7))
+    assert router.apply(make_table(make_route(), version=7))
+    assert not router.apply(make_table(version=6))
+    assert not router.apply(make_table(version=7))
     assert router.match(HOST, '/chat/1') is not None
 
 
 def test_a_split_keeps_its_weights_and_each_request_its_side() -> None:
-    split = route(shares=(Share('old', 90), Share('new', 10)))
+    split = make_route(shares=(Share('old', 90), Share('new', 10)))
     chosen = [choose_service(split, f'request-{one}') for one in range(2000)]
     assert 140 < chosen.count('new') < 260
     assert choose_service(split, 'request-1') == chosen[1]
@@ -76,7 +83,7 @@
 
 def test_entries_that_lapse_with_the_store_stay_in_use_for_a_while() -> None:
     roster = Roster()
-    roster.put(upstream('u1'))
+    roster.put(make_upstream('u1'))
     roster.note_outage(10)
     roster.remove('u1', 10.5)
     back = 10 + LAPSE_GRACE
@@ -87,9 +94,9 @@
 @pytest.mark.parametrize('draining', [True, False])
 def test_a_leaving_upstream_gets_no_new_work(draining: bool) -> None:
     roster = Roster()
-    roster.put(upstream('u1'))
+    roster.put(make_upstream('u1'))
     if draining:
-        roster.put(upstream('u1', draining=True))
+        roster.put(make_upstream('u1', draining=True))
     else:
         roster.remove('u1', 0)
     assert roster.of_service(ENGINES, 0) == []
@@ -97,12 +104,12 @@
 
 def _placement() -> tuple[Placement, LoadBoard]:
     board = LoadBoard()
-    return Placement(Site('a1', ZONES), board, lambda: 0), board
+    return Placement(Topology('a1', ZONES), board, lambda: 0), board
 
 
 def test_a_near_slot_goes_before_a_far_one_until_it_is_taken() -> None:
     placement, board = _placement()
-    near, far = upstream('near'), upstream('far', zone='b1')
+    near, far = make_upstream('near'), make_upstream('far', zone='b1')
     assert placement.choose([far, near], 0) == near
     board.add('near', online=8)
     assert placement.choose([far, near], 0) == far
@@ -112,7 +119,7 @@
 
 def test_what_peers_told_counts_until_it_is_stale() -> None:
     placement, board = _placement()
-    one = upstream('u1')
+    one = make_upstream('u1')
     board.hear('peer', Told(0, {'u1': Load(8, 0)}, 0))
     assert placement.choose([one], STALE_AFTER / 2) is None
     assert placement.choose([one], STALE_AFTER + 0.1) == one
@@ -120,7 +127,7 @@
 
 def test_an_upstream_that_refuses_connections_rests() -> None:
     placement, _ = _placement()
-    bad, good = upstream('bad'), upstream('good', zone='b1')
+    bad, good = make_upstream('bad'), make_upstream('good', zone='b1')
     for _ in range(2):
         placement.health('bad').fail(0, 0)
     assert placement.choose([bad, good], 0.1) == good
@@ -162,8 +169,8 @@
 def test_those_that_came_back_go_first() -> None:
     line = AdmissionQueue()
     for name, returned in (('new', False), ('back', True)):
-        one = call(name, returned=returned)
-        line.add(one, wait_rule(one, route(), 0), 0, 0)
+        one = make_request(name, is_retry=returned)
+        line.add(one, wait_rule(one, make_route(), 0), 0, 0)
     gone = line.peek()
     assert gone is not None
     assert gone.call.id == 'back'
@@ -172,28 +179,28 @@
 
 
 def test_a_new_request_waits_within_its_target_and_no_longer() -> None:
-    assert 0 < wait_rule(call('c'), route(), 0).seconds < 0.3
-    back = wait_rule(call('c', returned=True), route(), 0)
+    assert 0 < wait_rule(make_request('c'), make_route(), 0).seconds < 0.3
+    back = wait_rule(make_request('c', is_retry=True), make_route(), 0)
     assert 0.3 < back.seconds < 2
 
 
 def test_retry_after_stays_within_a_third_of_the_time_left() -> None:
-    assert retry_after(9, call('c'), 0) <= 5 / 3
-    assert retry_after(0, call('c'), 0) > 0
+    assert retry_after(9, make_request('c'), 0) <= 5 / 3
+    assert retry_after(0, make_request('c'), 0) > 0
 
 
 def test_events_are_passed_on_whole() -> None:
     splitter = EventSplitter(0)
     assert splitter.feed(b'id: 1\ndata: a') == []
     found = splitter.feed(b'\n\nid: 2\ndata: b\n\nid: 3')
-    assert [(one.number, one.data) for one in found] == [(1, 'a'), (2, 'b')]
-    assert splitter.last == 2
+    assert [(one.event_id, one.data) for one in found] == [(1, 'a'), (2, 'b')]
+    assert splitter.last_id == 2
     assert splitter.rest == b'id: 3'
 
 
 def test_a_stream_that_goes_back_is_not_passed_on() -> None:
     splitter = EventSplitter(4)
-    with pytest.raises(OrderError):
+    with pytest.raises(EventOrderError):
         splitter.feed(b'id: 4\ndata: a\n\n')
 
 
--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from gentiantrestle.gateway.follow import Follower, Gate, Sink, Subject
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
 
@@ -23,7 +23,7 @@
     def sink(self) -> Sink:
         return Sink(self._take, self._take, lambda: None, lambda: self.revision)
 
-    def _take(self, found: Iterable[Stored], revision: int) -> None:
+    def _take(self, found: Iterable[StoredObject], revision: int) -> None:
         self.names |= {one.name for one in found}
         self.revision = revision
 
@@ -33,7 +33,7 @@
 
     async def run() -> tuple[list[str], set[str]]:
         store = MemoryStore()
-        store.write(KIND, Stored('one', 0, 1))
+        store.write(KIND, StoredObject('one', 0, 1))
         store.down = bool(down)
         copy = _Copy()
         follower = Follower(
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -9,12 +9,18 @@
 import pytest
 
 from gentiantrestle.errors import RefusedError
-from gentiantrestle.gateway.admission import Admission, Lease, Wanted
+from gentiantrestle.gateway.admission import Admission, SlotLease, SlotRequest
 from gentiantrestle.gateway.batch.scheduling import startable
 from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
-from gentiantrestle.gateway.placement import Placement, Site
+from gentiantrestle.gateway.placement import Placement, Topology
 from gentiantrestle.gateway.roster import Roster
-from tests.gateway.samples import ENGINES, ZONES, call, route, upstream
+from tests.gateway.samples import (
+    ENGINES,
+    ZONES,
+    make_request,
+    make_route,
+    make_upstream,
+)
 from tests.utils.virtual import play, virtual_now
 
 INSTANCES = 9
@@ -75,19 +81,19 @@
         """Send one request by way of an instance."""
         came = virtual_now()
         admission = self.admissions[instance]
-        wanted = Wanted(call(name, came), route(), ENGINES)
+        wanted = SlotRequest(make_request(name, came), make_route(), ENGINES)
         try:
-            lease = await admission.enter(wanted)
+            lease = await admission.acquire(wanted)
         except RefusedError as exc:
             assert exc.refusal.retry_after
             return Outcome(False, virtual_now() - came)
         return await self._run(admission, lease, came)
 
     async def _run(
-        self, admission: Admission, lease: Lease, came: float
+        self, admission: Admission, lease: SlotLease, came: float
     ) -> Outcome:
         began = await self.engines[lease.upstream.id].run()
-        admission.leave(lease)
+        admission.release(lease)
         return Outcome(True, began - came)
 
     def _tell(self, teller: int) -> None:
@@ -103,8 +109,8 @@
     ) -> Admission:
         roster = Roster()
         for name in self.engines:
-            roster.put(upstream(name, slots=SLOTS))
-        placement = Placement(Site('a1', ZONES), board, chance)
+            roster.put(make_upstream(name, slots=SLOTS))
+        placement = Placement(Topology('a1', ZONES), board, chance)
         return Admission(roster, board, placement, virtual_now)
 
 
--- a/tests/gateway/test_retirement.py
+++ b/tests/gateway/test_retirement.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.gateway.retirement import OWN_TIME, Retirement
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
@@ -16,7 +16,7 @@
 
     async def run() -> dict[float, object]:
         store = MemoryStore()
-        store.write(KIND, Stored('s1', 0, {}))
+        store.write(KIND, StoredObject('s1', 0, {}))
         store.down = bool(down)
         sink = Retirement(store, KIND, instance, DONE).sink()
         sink.replace(store.kinds[KIND].values(), 1)
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.gateway.settling import SETTLE_TIME, SettlingStore
 from gentiantrestle.store.client import (
     StoreUnavailableError,
@@ -34,15 +34,15 @@
         self._silent -= 1
         self.calls.append('silent')
         if self._effect == 'now':
-            self.write(kind, Stored(name, 0, content))
+            self.write(kind, StoredObject(name, 0, content))
         if self._effect == 'late':
             asyncio.get_running_loop().call_later(
-                LATE, self._write_late, kind, Stored(name, 0, content)
+                LATE, self._write_late, kind, StoredObject(name, 0, content)
             )
         await asyncio.Event().wait()
         return False
 
-    def _write_late(self, kind: str, stored: Stored) -> None:
+    def _write_late(self, kind: str, stored: StoredObject) -> None:
         if stored.name not in self.kinds.get(kind, {}):
             self.write(kind, stored)
 
@@ -101,7 +101,7 @@
 
 def test_a_status_without_answer_is_left_to_who_reads_it_back() -> None:
     store = MemoryStore()
-    store.write(KIND, Stored('one', 0, 1))
+    store.write(KIND, StoredObject('one', 0, 1))
     store.lose_answers = 1
 
     async def run() -> bool:
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -9,7 +9,7 @@
 from gentiantrestle.gateway.batch.records import job_to_content
 from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.peers import Peer
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.gateway.roster import LAPSE_GRACE
 from gentiantrestle.gateway.state import State
 from gentiantrestle.gateway.watching import (
@@ -26,7 +26,7 @@
 from gentiantrestle.platform.documents import StoreDocuments
 from gentiantrestle.wire.peer import ttypes
 from tests.gateway.memory import MemoryStore
-from tests.gateway.samples import ENGINES, job
+from tests.gateway.samples import ENGINES, make_job
 
 ZONE = 'a1'
 LONG = 60.0
@@ -160,7 +160,7 @@
     return Copies(state, store, lambda: now), state, store
 
 
-def _server(name: str, revision: int) -> Stored:
+def _server(name: str, revision: int) -> StoredObject:
     entry = {
         'service': ENGINES,
         'address': '127.0.0.1:9',
@@ -169,7 +169,7 @@
         'state': 'ready',
         'born': 1,
     }
-    return Stored(name, revision, entry)
+    return StoredObject(name, revision, entry)
 
 
 def test_a_copy_brings_what_is_newer_and_nothing_else() -> None:
@@ -177,8 +177,10 @@
     state.replace_upstreams([_server('u1', 4)], 5)
     for number in (6, 8):
         name = f'job{number}'
-        content = job_to_content(job(name))
-        store.take_in([Stored(name, number, content, {'state': ''})], number)
+        content = job_to_content(make_job(name))
+        store.take_in(
+            [StoredObject(name, number, content, {'state': ''})], number
+        )
     taker, taken, jobs = _copies()
     taker.take(giver.give(taker.request()))
     assert taker.known == giver.known
