--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -10,7 +10,7 @@
     WatchGate,
     WatchSpec,
 )
-from gentiantrestle.gateway.ports import Stored
+from gentiantrestle.gateway.ports import StoredObject
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
 
@@ -30,7 +30,7 @@
             self._take, self._take, lambda: None, lambda: self.revision
         )
 
-    def _take(self, found: Iterable[Stored], revision: int) -> None:
+    def _take(self, found: Iterable[StoredObject], revision: int) -> None:
         self.names |= {one.name for one in found}
         self.revision = revision
 
@@ -40,7 +40,7 @@
 
     async def run() -> tuple[list[str], set[str]]:
         store = MemoryStore()
-        store.write(KIND, Stored('one', 0, 1))
+        store.write(KIND, StoredObject('one', 0, 1))
         store.down = bool(down)
         copy = _Copy()
         follower = Follower(
