--- a/gentiantrestle/gateway/assembly.py
+++ b/gentiantrestle/gateway/assembly.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from gentiantrestle.gateway.admission import Admission
-from gentiantrestle.gateway.batch.index import JobIndex
+from gentiantrestle.gateway.batch.context import BatchContext, Clock
+from gentiantrestle.gateway.batch.job_index import JobIndex
 from gentiantrestle.gateway.batch.job_store import JobStore
-from gentiantrestle.gateway.batch.parts import Clock, Parts
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.loads import LoadBoard
 from gentiantrestle.gateway.placement import Placement, Site
@@ -31,7 +31,7 @@
 class Workplace(NamedTuple):
     """What requests and items are placed and run with."""
 
-    parts: Parts
+    parts: BatchContext
     admission: Admission
     runner: Runner
 
@@ -48,7 +48,7 @@
     board = LoadBoard()
     index = JobIndex()
     store = SettlingStore(adapter.store, clock.now)
-    parts = Parts(
+    parts = BatchContext(
         index,
         JobStore(store, index, rng, clock.now, adapter.store),
         state.router,
@@ -60,5 +60,5 @@
     )
     admission = Admission(state.roster, board, parts.placement, clock.now)
     runner = Runner(parts, run)
-    admission.preempt = runner.table.preempt
+    admission.preempt = runner.run_table.preempt
     return Workplace(parts, admission, runner)
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -13,10 +13,10 @@
     UPSTREAM_UNSURE,
     refuse,
 )
-from gentiantrestle.gateway.batch.index import JobEntry
+from gentiantrestle.gateway.batch.context import BatchContext
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.job_store import encoded_size
-from gentiantrestle.gateway.batch.parts import Parts
-from gentiantrestle.gateway.batch.reader import ResultReader
+from gentiantrestle.gateway.batch.result_reader import ResultReader
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.model import Call, Job, Route
 from gentiantrestle.gateway.ports import (
@@ -43,7 +43,7 @@
 BYTES_HEADERS = [(b'content-type', b'application/octet-stream')]
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """A whole answer."""
 
     status: int
@@ -51,7 +51,7 @@
     body: bytes
 
 
-class Terms(NamedTuple):
+class SubmitContext(NamedTuple):
     """When, in wall-clock s, and under which version a job is handed in."""
 
     wall: float
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: BatchContext,
         runner: Runner,
         reader: ResultReader,
         instance: str,
@@ -77,7 +77,9 @@
         self._instance = instance
         self.on_end: Callable[[str], None] = _ignore
 
-    async def hand_in(self, call: Call, route: Route, terms: Terms) -> Answer:
+    async def submit(
+        self, call: Call, route: Route, terms: SubmitContext
+    ) -> Response:
         """Accept a job once; the store's yes comes before ours."""
         if call.id in self._index.entries:
             return _accepted()
@@ -106,7 +108,7 @@
         self._runner.wake()
         return _accepted()
 
-    async def read(self, wanted: ReadResults) -> Answer:
+    async def read_results(self, wanted: ReadResults) -> Response:
         """Return results from a position on, waiting a little for one."""
         entry = await self._find(wanted.job)
         await self._await_results(entry, wanted)
@@ -119,17 +121,17 @@
             page.append(one)
         total = len(entry.job.items)
         body = self._dialect.write_results(total, wanted.after, page)
-        return Answer(OK, JSON_HEADERS, body)
+        return Response(OK, JSON_HEADERS, body)
 
-    async def body(self, wanted: ReadBody) -> Answer:
+    async def read_body(self, wanted: ReadBody) -> Response:
         """Return the body of an item."""
         entry = await self._find(wanted.job)
         found = await self._body(entry, wanted.wanted)
         if found is None:
             raise refuse(NOT_FOUND, 'The job has no such item')
-        return Answer(OK, BYTES_HEADERS, found)
+        return Response(OK, BYTES_HEADERS, found)
 
-    async def end(self, wanted: EndJob) -> Answer:
+    async def end(self, wanted: EndJob) -> Response:
         """End a job for good."""
         try:
             known = await self._job_store.end(wanted.job)
@@ -140,7 +142,7 @@
         events.emit(events.JOB_FINISHED, job=wanted.job, state='ended')
         self.on_end(wanted.job)
         self._runner.wake()
-        return Answer(OK, JSON_HEADERS, b'{}')
+        return Response(OK, JSON_HEADERS, b'{}')
 
     async def _find(self, job: str) -> JobEntry:
         try:
@@ -214,8 +216,8 @@
         return waiting + job.tokens <= route.max_tokens * share
 
 
-def _accepted() -> Answer:
-    return Answer(ACCEPTED, JSON_HEADERS, b'{}')
+def _accepted() -> Response:
+    return Response(ACCEPTED, JSON_HEADERS, b'{}')
 
 
 def _ignore(job: str) -> None:
--- a/gentiantrestle/gateway/batch/parts.py
+++ b/gentiantrestle/gateway/batch/context.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from gentiantrestle.gateway.batch.index import JobIndex
+from gentiantrestle.gateway.batch.job_index import JobIndex
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.loads import LoadBoard
 from gentiantrestle.gateway.placement import Placement
@@ -19,7 +19,7 @@
     wall: Callable[[], float]
 
 
-class Parts(NamedTuple):
+class BatchContext(NamedTuple):
     """What batch work is run with."""
 
     index: JobIndex
--- a/gentiantrestle/gateway/batch/item.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.model import ItemResult, ItemSpec, Upstream
 from gentiantrestle.gateway.placement import Placement
 from gentiantrestle.gateway.ports import Dialect, Reply
--- a/gentiantrestle/gateway/batch/index.py
+++ b/gentiantrestle/gateway/batch/job_index.py
@@ -14,7 +14,7 @@
         self.job: Job = record.job
         self.stored = record.stored
         self.results: list[ItemResult] = []
-        self.chunks = 0
+        self.chunk_count = 0
         # Whether this process has seen all that the store lists of the job.
         self.learned = False
         # Whether no other process can have listed results of the job.
@@ -51,12 +51,12 @@
         for one in chunk:
             self.results.append(one)
             self._listed.add(one.id)
-        self.chunks += 1
+        self.chunk_count += 1
 
-    def take_over(self, rows: list[ItemResult], chunks: int) -> None:
+    def add_peer_results(self, rows: list[ItemResult], chunks: int) -> None:
         """Take in results from the instance that runs the job."""
         self.append(rows)
-        self.chunks = max(self.chunks - 1, chunks)
+        self.chunk_count = max(self.chunk_count - 1, chunks)
 
     def is_listed(self, wanted: str) -> bool:
         """Tell whether an item has a position."""
@@ -126,7 +126,7 @@
         if entry is not None:
             entry.end()
 
-    def share(self, run: str) -> None:
+    def note_takeover(self, run: str) -> None:
         """Note that another instance runs the jobs that ``run`` accepted."""
         for entry in self.entries.values():
             if entry.job.acceptor == run:
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry, JobIndex
+from gentiantrestle.gateway.batch.job_index import JobEntry, JobIndex
 from gentiantrestle.gateway.batch.records import (
     BODY_KIND,
     DONE,
@@ -79,7 +79,7 @@
             )
             return None
 
-    def take_in(self, found: Iterable[Stored], revision: int) -> None:
+    def apply_changes(self, found: Iterable[Stored], revision: int) -> None:
         """Take in jobs that are new as of a revision of the store."""
         for stored in found:
             self.note(stored)
@@ -202,10 +202,10 @@
 
     async def _read_chunks(self, entry: JobEntry) -> None:
         while not entry.complete:
-            name = chunk_name(entry.job.id, entry.chunks)
+            name = chunk_name(entry.job.id, entry.chunk_count)
             stored = await self._store.get(RESULT_KIND, name)
             # The own listing may have taken the same part in meanwhile.
-            if name != chunk_name(entry.job.id, entry.chunks):
+            if name != chunk_name(entry.job.id, entry.chunk_count):
                 continue
             if stored is None:
                 break
@@ -217,11 +217,11 @@
         entry: JobEntry,
         results: tuple[ItemResult, ...],
     ) -> None:
-        number = entry.chunks
+        number = entry.chunk_count
         content = results_to_content(results)
         name = chunk_name(entry.job.id, number)
         if await self._plain.create(RESULT_KIND, name, content):
-            if entry.chunks == number:
+            if entry.chunk_count == number:
                 entry.append(results)
             return
         await self._read_chunks(entry)
--- a/gentiantrestle/gateway/batch/reader.py
+++ b/gentiantrestle/gateway/batch/result_reader.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.batch.scheduling import runner_of
@@ -26,7 +26,9 @@
         self._runner = runner
         self._peers = peers
         self._now = now
-        self.ask: Callable[[Peer, JobEntry], Awaitable[bool]] = _ask_nobody
+        self.fetch_from_peer: Callable[[Peer, JobEntry], Awaitable[bool]] = (
+            _ask_nobody
+        )
 
     def is_sure(self, entry: JobEntry) -> bool:
         """Tell whether this process knows all results without the store.
@@ -37,7 +39,7 @@
         settled = self._peers.settled(self._now())
         return entry.sole and settled and not self._runner.stopping
 
-    async def make_sure(self, entry: JobEntry) -> bool:
+    async def ensure_current(self, entry: JobEntry) -> bool:
         """Have a job's results known here, if this process runs it."""
         if self.is_sure(entry):
             return True
@@ -58,7 +60,7 @@
         peer = self._peers.find(name) if name else None
         if self._runner.is_own(entry):
             peer = None
-        if peer is None or not await self.ask(peer, entry):
+        if peer is None or not await self.fetch_from_peer(peer, entry):
             await self._job_store.refresh(entry)
 
 
--- a/gentiantrestle/gateway/batch/writer.py
+++ b/gentiantrestle/gateway/batch/result_writer.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.model import ItemResult
 
--- a/gentiantrestle/gateway/batch/table.py
+++ b/gentiantrestle/gateway/batch/run_table.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry
-from gentiantrestle.gateway.batch.item import Finished, ItemRun
-from gentiantrestle.gateway.batch.parts import Parts
+from gentiantrestle.gateway.batch.context import BatchContext
+from gentiantrestle.gateway.batch.item_progress import Finished, ItemRun
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.scheduling import (
     Due,
     Need,
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: BatchContext,
         finished: Callable[[ItemRun, Finished], None],
     ) -> None:
         """Call ``finished`` for each run that was not cut."""
@@ -102,7 +102,7 @@
         self.cut(item_id)
         return upstream
 
-    def yield_overload(self) -> None:
+    def preempt_overbooked(self) -> None:
         """Cut items where all instances together take over the slots.
 
         Of several instances the one with the most batch there gives way.
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -6,18 +6,18 @@
 from contextlib import suppress
 
 from gentiantrestle import events
-from gentiantrestle.gateway.batch.index import JobEntry
-from gentiantrestle.gateway.batch.item import Finished, ItemRun
-from gentiantrestle.gateway.batch.parts import Parts
+from gentiantrestle.gateway.batch.context import BatchContext
+from gentiantrestle.gateway.batch.item_progress import Finished, ItemRun
+from gentiantrestle.gateway.batch.job_index import JobEntry
+from gentiantrestle.gateway.batch.result_writer import ResultWriter
+from gentiantrestle.gateway.batch.run_table import RunTable
 from gentiantrestle.gateway.batch.scheduling import (
     Due,
     due_items,
     is_abandoned,
     runs_here,
-    startable,
+    start_budget,
 )
-from gentiantrestle.gateway.batch.table import RunTable
-from gentiantrestle.gateway.batch.writer import ResultWriter
 from gentiantrestle.gateway.loads import BatchWaiting
 from gentiantrestle.gateway.model import Route, Upstream
 from gentiantrestle.gateway.routing import choose_service
@@ -35,20 +35,20 @@
 class Runner:
     """Starts items on free slots and has their results listed."""
 
-    def __init__(self, parts: Parts, instance: str) -> None:
+    def __init__(self, parts: BatchContext, instance: str) -> None:
         """Run nothing yet; ``alive`` lists the living runs of instances."""
         self._parts = parts
         self._instance = instance
         self._began = parts.clock.now()
-        self.alive: Callable[[], Iterable[str]] = tuple
-        self.table = RunTable(parts, self._note_end)
+        self.live_instances: Callable[[], Iterable[str]] = tuple
+        self.run_table = RunTable(parts, self._note_end)
         self._writer = ResultWriter(parts.job_store)
         self._paused: dict[str, float] = {}
         self._learning: set[str] = set()
         self._woken = asyncio.Event()
         self.waiting = BatchWaiting()
         # Runs of instances whose jobs were taken over, told to the others.
-        self.taken: deque[str] = deque(maxlen=TAKEN_TOLD)
+        self.taken_over: deque[str] = deque(maxlen=TAKEN_TOLD)
         self.stopping = False
 
     async def run(self) -> None:
@@ -56,7 +56,7 @@
         while not self.stopping:
             self._round()
             self._woken.clear()
-            busy = self.waiting.count or self.table.ids()
+            busy = self.waiting.count or self.run_table.ids()
             with suppress(TimeoutError):
                 async with asyncio.timeout(ROUND_TIME if busy else IDLE_TIME):
                     await self._woken.wait()
@@ -68,23 +68,23 @@
     def is_own(self, entry: JobEntry) -> bool:
         """Tell whether this instance runs a job."""
         age = self._parts.clock.now() - self._began
-        return runs_here(entry, self._instance, self.alive(), age)
+        return runs_here(entry, self._instance, self.live_instances(), age)
 
     async def stop(self) -> None:
         """Cut the items and list what is finished."""
         self.stopping = True
-        for item_id in self.table.ids():
-            self.table.cut(item_id)
+        for item_id in self.run_table.ids():
+            self.run_table.cut(item_id)
         await self._writer.stop()
 
     def _round(self) -> None:
         now = self._parts.clock.now()
-        self.table.cut_closed()
-        self.table.yield_overload()
+        self.run_table.cut_closed()
+        self.run_table.preempt_overbooked()
         mine = list(self._own_entries())
         self._give_up(mine)
-        busy = self.table.ids() | self._writer.held() | self._pausing(now)
-        waiting = due_items(mine, busy, self.table.need)
+        busy = self.run_table.ids() | self._writer.held() | self._pausing(now)
+        waiting = due_items(mine, busy, self.run_table.need)
         self.waiting = BatchWaiting()
         if waiting:
             self.waiting = BatchWaiting(len(waiting), waiting[0].spare)
@@ -119,7 +119,7 @@
         upstream = self._parts.placement.choose(found, now)
         if upstream is None:
             return False
-        self.table.start(due, route, upstream)
+        self.run_table.start(due, route, upstream)
         return True
 
     def _budget(
@@ -131,7 +131,7 @@
         placement = self._parts.placement
         fit = placement.healthy(found, now)
         free = sum(max(0, placement.free(one, now)) for one in fit)
-        return startable(free, sum(one.slots for one in found), ahead)
+        return start_budget(free, sum(one.slots for one in found), ahead)
 
     def _own_entries(self) -> Iterator[tuple[JobEntry, Route | None]]:
         for entry in self._parts.index.open_entries():
@@ -148,9 +148,9 @@
 
     def _note_taken(self, entry: JobEntry) -> None:
         run = entry.job.acceptor
-        if run != self._instance and run not in self.taken:
+        if run != self._instance and run not in self.taken_over:
             events.emit(events.JOBS_TAKEN, run=run)
-            self.taken.append(run)
+            self.taken_over.append(run)
 
     def _learn(self, entry: JobEntry) -> None:
         """Read what others have listed before running another's job."""
@@ -186,7 +186,7 @@
         if ended.result is None:
             self._paused[item_id] = self._parts.clock.now() + ITEM_PAUSE
             return
-        self.table.forget(item_id)
+        self.run_table.forget(item_id)
         self._writer.post(run.entry, ended.result)
         self.wake()
 
@@ -201,8 +201,8 @@
     def _give_up_job(self, entry: JobEntry) -> None:
         held = self._writer.held()
         for spec in tuple(entry.unlisted()):
-            if spec.id in self.table.ids():
-                self.table.cut(spec.id)
+            if spec.id in self.run_table.ids():
+                self.run_table.cut(spec.id)
             if spec.id not in held:
                 run = ItemRun(entry, spec, 0)
                 self._writer.post(entry, run.give_up('nobody waits for it'))
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from gentiantrestle.daemon.membership.rendezvous import owner
-from gentiantrestle.gateway.batch.index import JobEntry
+from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.model import ItemSpec, Route
 from gentiantrestle.gateway.peers import SILENCE
 
@@ -101,7 +101,7 @@
     return runner_of(entry, (*alive, instance)) == instance
 
 
-def startable(free: int, slots: int, ahead: int) -> int:
+def start_budget(free: int, slots: int, ahead: int) -> int:
     """Return how many items an instance may start on a service's free slots.
 
     Items of other instances that have less time to spare go ``ahead``, so
--- a/gentiantrestle/gateway/copies.py
+++ b/gentiantrestle/gateway/copies.py
@@ -69,7 +69,7 @@
                 map(_unpack, told.upstreams), told.upstreams_revision
             )
         jobs = [_unpack(one) for one in told.jobs]
-        self._job_store.take_in(jobs, told.jobs_revision)
+        self._job_store.apply_changes(jobs, told.jobs_revision)
 
     def _newer_jobs(self, revision: int) -> Iterable[Stored]:
         for entry in self._job_store.index.entries.values():
--- a/gentiantrestle/gateway/entry.py
+++ b/gentiantrestle/gateway/entry.py
@@ -9,8 +9,8 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.gateway.batch.api import Answer, JobApi, Terms
-from gentiantrestle.gateway.batch.parts import Clock
+from gentiantrestle.gateway.batch.api import JobApi, Response, SubmitContext
+from gentiantrestle.gateway.batch.context import Clock
 from gentiantrestle.gateway.callers import Exchange
 from gentiantrestle.gateway.forward import Forwarder
 from gentiantrestle.gateway.model import Call, Route, RouteKind
@@ -69,12 +69,12 @@
         finally:
             self._note(call, route, outcome, started)
 
-    async def _operate(self, operation: Operation) -> Answer:
+    async def _operate(self, operation: Operation) -> Response:
         if isinstance(operation, EndJob):
             return await self._api.end(operation)
         if isinstance(operation, ReadBody):
-            return await self._api.body(operation)
-        return await self._api.read(operation)
+            return await self._api.read_body(operation)
+        return await self._api.read_results(operation)
 
     def _find_route(self, call: Call) -> Route:
         if not self._router.known:
@@ -93,8 +93,10 @@
         exchange: Exchange,
     ) -> str:
         if route.kind is RouteKind.BATCH and call.method == POST:
-            terms = Terms(self._clock.wall(), self._router.table.version)
-            answer = await self._api.hand_in(call, route, terms)
+            terms = SubmitContext(
+                self._clock.wall(), self._router.table.version
+            )
+            answer = await self._api.submit(call, route, terms)
             await _respond(exchange, answer)
             return 'accepted'
         left = call.deadline - call.received
@@ -125,7 +127,7 @@
         )
 
 
-async def _respond(exchange: Exchange, answer: Answer) -> None:
+async def _respond(exchange: Exchange, answer: Response) -> None:
     await exchange.respond(answer.status, answer.headers, answer.body)
 
 
--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from gentiantrestle.gateway.admission import Admission
-from gentiantrestle.gateway.batch.index import JobIndex
-from gentiantrestle.gateway.batch.reader import ResultReader
+from gentiantrestle.gateway.batch.job_index import JobIndex
+from gentiantrestle.gateway.batch.result_reader import ResultReader
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.gossip import Gossip
@@ -59,8 +59,8 @@
             identity.zone, random.Random(identity.incarnation).random
         )
         self._relay = Relay(work.copies, peers, work.index, rule, identity.port)
-        self._relay.make_sure = work.reader.make_sure
-        work.reader.ask = self._relay.results
+        self._relay.make_sure = work.reader.ensure_current
+        work.reader.fetch_from_peer = self._relay.results
 
     def children(self) -> Iterator[Child]:
         """Pass on what the supervisor runs."""
@@ -85,7 +85,7 @@
             self._connected(),
             self._work.admission.waiting,
             tuple(self._ended),
-            tuple(self._work.runner.taken),
+            tuple(self._work.runner.taken_over),
             self._work.runner.waiting,
             known.upstreams_revision,
             known.jobs_revision,
@@ -94,10 +94,10 @@
 
     def _hear(self, heard: Heard) -> None:
         for run in heard.taken:
-            self._work.index.share(run)
+            self._work.index.note_takeover(run)
         for job in heard.ended:
             self._work.index.end(job)
-        self._work.runner.table.yield_overload()
+        self._work.runner.run_table.preempt_overbooked()
         self._work.admission.dispatch()
 
 
--- a/gentiantrestle/gateway/relay.py
+++ b/gentiantrestle/gateway/relay.py
@@ -9,7 +9,7 @@
     PeerError,
     PeerServer,
 )
-from gentiantrestle.gateway.batch.index import JobEntry, JobIndex
+from gentiantrestle.gateway.batch.job_index import JobEntry, JobIndex
 from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.gossip import peer_address
 from gentiantrestle.gateway.model import ItemResult
@@ -79,7 +79,7 @@
                 ItemResult(row.item, row.completed, row.output)
                 for row in told.rows
             ]
-            entry.take_over(rows, told.chunks)
+            entry.add_peer_results(rows, told.chunks)
         return True
 
     async def _copy(self, peer: Peer) -> None:
@@ -129,7 +129,7 @@
             known=True,
             complete=entry.complete,
             rows=[ttypes.ResultRow(*row) for row in rows],
-            chunks=entry.chunks,
+            chunks=entry.chunk_count,
         )
 
 
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -8,9 +8,9 @@
 from gentiantrestle import events
 from gentiantrestle.gateway.assembly import Plan, build_workplace
 from gentiantrestle.gateway.batch.api import JobApi
-from gentiantrestle.gateway.batch.parts import Clock
-from gentiantrestle.gateway.batch.reader import ResultReader
+from gentiantrestle.gateway.batch.context import Clock
 from gentiantrestle.gateway.batch.records import JOB_KIND
+from gentiantrestle.gateway.batch.result_reader import ResultReader
 from gentiantrestle.gateway.callers import Callers
 from gentiantrestle.gateway.copies import Copies
 from gentiantrestle.gateway.entry import Entry
@@ -141,7 +141,7 @@
 
     def _build_peering(self) -> Peering:
         peers = self._peers
-        self._runner.alive = lambda: peers.workers(self._clock.now())
+        self._runner.live_instances = lambda: peers.workers(self._clock.now())
         reader = ResultReader(
             self._parts.job_store, self._runner, peers, self._clock.now
         )
@@ -219,7 +219,7 @@
         return int(self._is_connected())
 
     def _take_jobs(self, found: Iterable[Stored], revision: int) -> None:
-        self._parts.job_store.take_in(found, revision)
+        self._parts.job_store.apply_changes(found, revision)
         self._runner.wake()
 
     def _wake(self) -> None:
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -13,7 +13,7 @@
 from gentiantrestle.http.client import LostError, NotSentError
 from gentiantrestle.models import Address
 from tests.gateway.wire import ask_raw
-from tests.gateway.written import ROUTE_HOST, SERVICE, routes
+from tests.gateway.wire_samples import ROUTE_HOST, SERVICE, route_docs
 from tests.utils.http import Reply, send, until
 from tests.utils.ports import HOST, free_ports, worker_number
 
@@ -115,7 +115,7 @@
         await until(self._store_answers)
         for number, _ in enumerate(self.upstreams):
             await self.register(number)
-        await self.configure(routes())
+        await self.configure(route_docs())
         for number, _ in enumerate(self.entries):
             await self.start_entry(number)
         for number, _ in enumerate(self.entries):
--- a/tests/gateway/test_adapter.py
+++ b/tests/gateway/test_adapter.py
@@ -18,7 +18,7 @@
 from gentiantrestle.platform.documents import StoreDocuments
 from gentiantrestle.platform.settings import NodeSettings, SettingsError
 from tests.gateway.samples import call, upstream
-from tests.gateway.written import routes
+from tests.gateway.wire_samples import route_docs
 
 SETTINGS = {
     'node-name': 'edge-1',
@@ -43,7 +43,7 @@
 }
 CONFIG = {
     'version': 7,
-    'routes': routes(),
+    'routes': route_docs(),
     'services': [{'name': 'engines', 'engine': {}}],
     'limits': {
         'max-header-bytes': 16384,
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentiantrestle.gateway.batch.index import JobIndex
+from gentiantrestle.gateway.batch.job_index import JobIndex
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.records import (
     JOB_KIND,
@@ -23,7 +23,7 @@
     may_yield,
     runner_of,
     runs_here,
-    startable,
+    start_budget,
     yield_rank,
 )
 from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
@@ -127,7 +127,7 @@
     await restarted.refresh(entry)
     assert entry.learned
     assert not entry.sole
-    index.share('one/1')
+    index.note_takeover('one/1')
     assert not index.entries['job1'].sole
 
 
@@ -203,9 +203,9 @@
     board.hear('later', Told(0, {}, 0, BatchWaiting(9, -1.0)))
     ahead = board.batch_ahead(mine, 0)
     assert ahead == 2
-    assert startable(free=2, slots=8, ahead=ahead) == 0
-    assert startable(free=5, slots=8, ahead=ahead) == 3
-    assert startable(free=5, slots=48, ahead=ahead) == 1
+    assert start_budget(free=2, slots=8, ahead=ahead) == 0
+    assert start_budget(free=5, slots=8, ahead=ahead) == 3
+    assert start_budget(free=5, slots=48, ahead=ahead) == 1
 
 
 def test_an_item_that_would_miss_its_time_does_not_give_way() -> None:
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -10,7 +10,7 @@
 
 from gentiantrestle.errors import RefusedError
 from gentiantrestle.gateway.admission import Admission, Lease, Wanted
-from gentiantrestle.gateway.batch.scheduling import startable
+from gentiantrestle.gateway.batch.scheduling import start_budget
 from gentiantrestle.gateway.loads import BatchWaiting, LoadBoard, Told
 from gentiantrestle.gateway.placement import Placement, Site
 from gentiantrestle.gateway.roster import Roster
@@ -175,7 +175,7 @@
             if other != name:
                 board.hear(other, said)
         ahead = board.batch_ahead(own.batch, 0) if ranked else 0
-        started += min(own.batch.count, startable(free, free, ahead))
+        started += min(own.batch.count, start_budget(free, free, ahead))
     return started - free
 
 
--- a/tests/gateway/test_process_operations.py
+++ b/tests/gateway/test_process_operations.py
@@ -8,7 +8,7 @@
 from gentiantrestle.http.client import LostError
 from gentiantrestle.models import Address
 from tests.gateway.fleet import ENTRIES, GatewayFleet, in_force
-from tests.gateway.written import route, routes, whole
+from tests.gateway.wire_samples import expected_stream, route_doc, route_docs
 from tests.utils.http import send, until
 
 DUTY_CHANGED = 3010  # the event that tells who watches the store
@@ -17,7 +17,9 @@
 async def test_a_configuration_is_in_force_everywhere_and_stays(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.configure([*routes(), route(name='new', path_prefix='/new/')])
+    await fleet.configure(
+        [*route_docs(), route_doc(name='new', path_prefix='/new/')]
+    )
     for number in range(ENTRIES):
         await until(lambda one=number: serves(fleet, one, '/new/'))
     await fleet.harm_store(down=True)
@@ -58,14 +60,16 @@
     await until(fleet.runs)
     stopped = asyncio.create_task(fleet.entries[0].end(signal.SIGTERM))
     late = await fleet.ask(0, 'r2', body={'events': 3})
-    assert late.body == whole('r2', 3)
-    assert (await stream).body == whole('r1', 60)
+    assert late.body == expected_stream('r2', 3)
+    assert (await stream).body == expected_stream('r1', 60)
     assert await stopped == 0
 
 
 async def test_a_dropped_history_loses_no_change(fleet: GatewayFleet) -> None:
     await fleet.harm_store(compact=True)
-    await fleet.configure([*routes(), route(name='new', path_prefix='/new/')])
+    await fleet.configure(
+        [*route_docs(), route_doc(name='new', path_prefix='/new/')]
+    )
     for number in range(ENTRIES):
         await until(lambda one=number: serves(fleet, one, '/new/'))
 
@@ -135,7 +139,7 @@
     await until(lambda: len(watchers()) == 1)
     first = watchers()[0]
     await fleet.entries[first].end()
-    listed = [*routes(), route(name='new', path_prefix='/new/')]
+    listed = [*route_docs(), route_doc(name='new', path_prefix='/new/')]
     await fleet.configure(listed)
     others = [one for one in range(ENTRIES) if one != first]
     # The bound for a configuration to be in force.
--- a/tests/gateway/test_process_requests.py
+++ b/tests/gateway/test_process_requests.py
@@ -6,7 +6,7 @@
 
 from gentiantrestle.http.client import LostError
 from tests.gateway.fleet import UPSTREAMS, GatewayFleet
-from tests.gateway.written import whole
+from tests.gateway.wire_samples import expected_stream
 from tests.utils.http import send_raw, until
 
 
@@ -14,7 +14,7 @@
     fleet: GatewayFleet,
 ) -> None:
     stream = await fleet.ask(0, 'r1', body={'events': 20})
-    assert (stream.status, stream.body) == (200, whole('r1', 20))
+    assert (stream.status, stream.body) == (200, expected_stream('r1', 20))
     assert stream.headers['x-server-stamp'] == 'stamp'
     plain = await fleet.ask(1, 'r2', '/get/a?b=c', method='GET')
     assert (plain.status, plain.body) == (200, b'plain')
@@ -29,7 +29,7 @@
     for number in range(UPSTREAMS):
         await fleet.harm(number, cut_after=7)
     reply = await fleet.ask(0, 'r1', body={'events': 14})
-    assert reply.body == whole('r1', 14)
+    assert reply.body == expected_stream('r1', 14)
     runs = await fleet.runs()
     assert sorted(run['last'] for run in runs) == [0, 7]
 
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentiantrestle.gateway.batch.index import JobIndex
+from gentiantrestle.gateway.batch.job_index import JobIndex
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.records import job_to_content
 from gentiantrestle.gateway.copies import Copies
@@ -178,7 +178,9 @@
     for number in (6, 8):
         name = f'job{number}'
         content = job_to_content(job(name))
-        store.take_in([Stored(name, number, content, {'state': ''})], number)
+        store.apply_changes(
+            [Stored(name, number, content, {'state': ''})], number
+        )
     taker, taken, jobs = _copies()
     taker.take(giver.give(taker.request()))
     assert taker.known == giver.known
--- a/tests/gateway/written.py
+++ b/tests/gateway/wire_samples.py
@@ -9,7 +9,7 @@
 SERVICE = 'engines'
 
 
-def route(**changes: Any) -> dict[str, Any]:
+def route_doc(**changes: Any) -> dict[str, Any]:
     """Return a route as the operator writes it."""
     plain = {
         'name': 'chat',
@@ -28,14 +28,14 @@
     }
 
 
-def routes() -> list[dict[str, Any]]:
+def route_docs() -> list[dict[str, Any]]:
     """Return one route of each kind."""
     return [
-        route(),
-        route(name='once', path_prefix='/once/', resumable=False),
-        route(name='get', path_prefix='/get/', route_kind='safe'),
-        route(name='pay', path_prefix='/pay/', route_kind='unsafe'),
-        route(
+        route_doc(),
+        route_doc(name='once', path_prefix='/once/', resumable=False),
+        route_doc(name='get', path_prefix='/get/', route_kind='safe'),
+        route_doc(name='pay', path_prefix='/pay/', route_kind='unsafe'),
+        route_doc(
             name='lists',
             path_prefix='/lists/',
             route_kind='batch',
@@ -47,7 +47,7 @@
     ]
 
 
-def job(name: str, count: int, events: int, **item: Any) -> dict[str, Any]:
+def job_doc(name: str, count: int, events: int, **item: Any) -> dict[str, Any]:
     """Return a batch job as callers hand it in."""
     body = f'{{"events":{events}}}'.encode()
     return {
@@ -65,11 +65,11 @@
     }
 
 
-def output(item: str, events: int) -> str:
+def expected_output(item: str, events: int) -> str:
     """Return the whole output of an item."""
     return '\n'.join(f'{item}-{one + 1}' for one in range(events))
 
 
-def whole(request_id: str, events: int) -> bytes:
+def expected_stream(request_id: str, events: int) -> bytes:
     """Return the whole stream of a request."""
     return b''.join(event(request_id, one + 1) for one in range(events))
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -14,7 +14,7 @@
     LostError,
     NotSentError,
 )
-from tests.gateway.written import ROUTE_HOST, job
+from tests.gateway.wire_samples import ROUTE_HOST, job_doc
 from tests.soak.history import ACCEPTED, Asked, Ended, Page, Probe
 from tests.soak.world import World
 
@@ -96,7 +96,7 @@
 
     async def _hand_in(self, name: str) -> None:
         """Send a job until it is accepted, at other entries, a few times."""
-        document = job(name, self._rng.randint(1, 6), 0)
+        document = job_doc(name, self._rng.randint(1, 6), 0)
         for item in document['items']:
             self._fill(item)
         self._seen.items[name] = tuple(one['id'] for one in document['items'])
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -10,7 +10,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from tests.gateway.written import output, whole
+from tests.gateway.wire_samples import expected_output, expected_stream
 
 Check = Callable[['History'], Iterator[str]]
 # An item, its state and its text.
@@ -44,7 +44,9 @@
 
     def fits(self) -> bool:
         """Tell whether the body is the request's own, as far as it came."""
-        wanted = whole(self.id, self.events) if self.events else b'plain'
+        wanted = (
+            expected_stream(self.id, self.events) if self.events else b'plain'
+        )
         if self.complete:
             return self.body == wanted
         return wanted.startswith(self.body)
@@ -133,7 +135,7 @@
 
     def text(self, item: str) -> str:
         """Return the whole text of an item."""
-        return output(item, self.lengths[item])
+        return expected_output(item, self.lengths[item])
 
     def fault_of(self, job: str, row: Row) -> str:
         """Say what is wrong with a result; nothing where all is well."""
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.gateway.written import output, whole
+from tests.gateway.wire_samples import expected_output, expected_stream
 from tests.soak.history import (
     APPLY_TIME,
     CANCEL_TIME,
@@ -21,7 +21,7 @@
 
 
 def _asked(name: str, kind: str, **changes: Any) -> Asked:
-    body = whole(name, 2) if kind in {'chat', 'once'} else b'plain'
+    body = expected_stream(name, 2) if kind in {'chat', 'once'} else b'plain'
     count = 2 if kind in {'chat', 'once'} else 0
     plain = Asked(name, kind, 0, 10, 11, 200, True, body, count)
     return plain._replace(**changes)
@@ -45,7 +45,9 @@
     seen.runs = [_run(name) for name in ('o1', 'c1', 'p1', 'i1', 'i2')]
     seen.items = {'j1': ('i1',), 'j2': ('i2',)}
     seen.lengths = {'i1': 3, 'i2': 3}
-    seen.pages = [Page('j1', 0, 1, (('i1', 'completed', output('i1', 3)),), 20)]
+    seen.pages = [
+        Page('j1', 0, 1, (('i1', 'completed', expected_output('i1', 3)),), 20)
+    ]
     seen.ended = [Ended('j2', 10)]
     seen.unsure_ends = {'j2'}
     seen.drained = [Drained('u-0', 20)]
@@ -65,10 +67,10 @@
     ),
     'UNASKED: x ran': lambda seen: seen.runs.append(_run('x')),
     'MIXED: chat': lambda seen: seen.asked.append(
-        _asked('c2', 'chat', body=whole('c1', 2))
+        _asked('c2', 'chat', body=expected_stream('c1', 2))
     ),
     'MIXED: once': lambda seen: seen.asked.append(
-        _asked('o2', 'once', body=whole('o2', 1))
+        _asked('o2', 'once', body=expected_stream('o2', 1))
     ),
     'TWICE: j1 at 0': lambda seen: seen.pages.append(
         _row('i1', 'completed', 'other')
@@ -80,10 +82,10 @@
         seen.pages[0]._replace(total=2)
     ),
     'MIXED: i2 is not': lambda seen: seen.pages.append(
-        _row('i2', 'completed', output('i2', 3))
+        _row('i2', 'completed', expected_output('i2', 3))
     ),
     'MIXED: i1 has': lambda seen: seen.pages.append(
-        _row('i1', 'completed', output('i1', 2))
+        _row('i1', 'completed', expected_output('i1', 2))
     ),
     'MIXED: i1 was given up': lambda seen: seen.pages.append(
         _row('i1', 'dead_lettered', '')
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -8,7 +8,7 @@
 from gentiantrestle.http.client import LostError, NotSentError
 from gentiantrestle.models import Address
 from tests.gateway.fleet import GatewayFleet
-from tests.gateway.written import route, routes
+from tests.gateway.wire_samples import route_doc, route_docs
 from tests.soak.history import Drained, History
 from tests.soak.proxy import Proxy
 from tests.soak.skewed import CLOCK_FILE
@@ -97,7 +97,7 @@
         """Write a configuration with one more route of its own."""
         async with self._operator:
             versions = range(1, self.version + 2)
-            await self.configure([*routes(), *map(_own_route, versions)])
+            await self.configure([*route_docs(), *map(_own_route, versions)])
             self.history.acked[self.version] = time.time()
         return self.version
 
@@ -121,7 +121,7 @@
 
 
 def _own_route(version: int) -> dict[str, Any]:
-    return route(
+    return route_doc(
         name=f'v{version}',
         path_prefix=f'/v{version}/',
         route_kind='safe',
