--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -51,7 +51,7 @@
     body: bytes
 
 
-class SubmitContext(NamedTuple):
+class Submission(NamedTuple):
     """When, in wall-clock s, and under which version a job is handed in."""
 
     wall: float
@@ -78,7 +78,7 @@
         self.on_end: Callable[[str], None] = _ignore
 
     async def submit(
-        self, call: Call, route: Route, terms: SubmitContext
+        self, call: Call, route: Route, terms: Submission
     ) -> Response:
         """Accept a job once; the store's yes comes before ours."""
         if call.id in self._index.entries:
--- a/gentiantrestle/gateway/entry.py
+++ b/gentiantrestle/gateway/entry.py
@@ -9,7 +9,7 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.gateway.batch.api import JobApi, Response, SubmitContext
+from gentiantrestle.gateway.batch.api import JobApi, Response, Submission
 from gentiantrestle.gateway.batch.context import Clock
 from gentiantrestle.gateway.callers import Exchange
 from gentiantrestle.gateway.forward import Forwarder
@@ -93,9 +93,7 @@
         exchange: Exchange,
     ) -> str:
         if route.kind is RouteKind.BATCH and call.method == POST:
-            terms = SubmitContext(
-                self._clock.wall(), self._router.table.version
-            )
+            terms = Submission(self._clock.wall(), self._router.table.version)
             answer = await self._api.submit(call, route, terms)
             await _respond(exchange, answer)
             return 'accepted'
