--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -10,7 +10,7 @@
 
 from gentiantrestle.errors import RefusedError
 from gentiantrestle.gateway.admission import Admission, SlotLease, SlotRequest
-from gentiantrestle.gateway.batch.scheduling import startable
+from gentiantrestle.gateway.batch.scheduling import start_budget
 from gentiantrestle.gateway.loads import BatchBacklog, LoadBoard, LoadReport
 from gentiantrestle.gateway.placement import Placement, Topology
 from gentiantrestle.gateway.roster import Roster
@@ -181,7 +181,7 @@
             if other != name:
                 board.set_peer_report(other, said)
         ahead = board.batch_ahead(own.batch_backlog, 0) if ranked else 0
-        started += min(own.batch_backlog.count, startable(free, free, ahead))
+        started += min(own.batch_backlog.count, start_budget(free, free, ahead))
     return started - free
 
 
