--- a/gentiantrestle/daemon/batch/accept.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -8,9 +8,9 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.batch.intake import Intake, Summary
+from gentiantrestle.daemon.batch.parser import Intake, Summary
 from gentiantrestle.daemon.batch.records import (
-    JOBS,
+    JOB_PREFIX,
     RUNNING,
     ItemLine,
     JobRecord,
@@ -72,7 +72,7 @@
                 await self._store.delete(input_name(self.name, index))
 
 
-class Acceptance:
+class JobAcceptor:
     """Turns submissions into jobs; a resend finds the first job."""
 
     def __init__(
@@ -119,7 +119,7 @@
         running = sum(
             copied.document['state'] == RUNNING
             and copied.document['client'] == submission.client
-            for copied in self._configuration.mirror.below(JOBS)
+            for copied in self._configuration.mirror.below(JOB_PREFIX)
         )
         if running >= submission.max_jobs:
             raise refuse(
--- a/gentiantrestle/daemon/batch/board.py
+++ b/gentiantrestle/daemon/batch/board.py
@@ -4,7 +4,7 @@
 
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.batch.records import (
-    JOBS,
+    JOB_PREFIX,
     RUNNING,
     ChunkRecord,
     JobRecord,
@@ -37,7 +37,7 @@
         self._fleet = fleet
         self._running: dict[str, JobRecord] = {}
         self.book = ChunkBook()
-        configuration.mirror.listen(JOBS, self._heed_job)
+        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
 
     def jobs(self) -> Iterator[JobRecord]:
         """Yield the running jobs."""
@@ -106,7 +106,7 @@
             self.note(key, listed['version'], listed['body'])
 
     def _heed_job(self, copied: Copied) -> None:
-        job = copied.name.removeprefix(JOBS)
+        job = copied.name.removeprefix(JOB_PREFIX)
         document = copied.document
         if document is not None and document['state'] == RUNNING:
             self._running[job] = document
--- a/gentiantrestle/daemon/batch/slots.py
+++ b/gentiantrestle/daemon/batch/caps.py
@@ -8,7 +8,7 @@
 BUSY_SHARE = 0.5
 
 
-class Allowance:
+class BatchCap:
     """The cap on one upstream's batch items, kept by their one owner.
 
     The cap falls at once and grows back in steps after some calm, so that
@@ -18,23 +18,23 @@
     def __init__(self, slots: int) -> None:
         """Start at nothing and grow from there."""
         self._slots = slots
-        self.cap = 0
+        self.current = 0
         self._calm_since: float | None = None
 
     def update(self, pressure: Pressure, now: float) -> int:
         """Return the cap that holds from now on."""
         target = target_cap(self._slots, pressure)
-        if target <= self.cap:
-            self.cap = target
+        if target <= self.current:
+            self.current = target
             self._calm_since = now
-            return self.cap
+            return self.current
         if self._calm_since is None:
             self._calm_since = now - CALM_BEFORE_GROWTH
         if now - self._calm_since >= CALM_BEFORE_GROWTH:
             step = max(1, int(self._slots * GROWTH))
-            self.cap = min(target, self.cap + step)
+            self.current = min(target, self.current + step)
             self._calm_since = now - CALM_BEFORE_GROWTH / 2
-        return self.cap
+        return self.current
 
 
 def target_cap(slots: int, pressure: Pressure) -> int:
--- a/gentiantrestle/daemon/batch/reader.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -8,7 +8,7 @@
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.batch.records import (
     CANCELLED,
-    JOBS,
+    JOB_PREFIX,
     RUNNING,
     ChunkRecord,
     JobRecord,
@@ -59,7 +59,7 @@
     version: int
 
 
-class Reader:
+class ClientJobs:
     """Answers what clients ask about their jobs."""
 
     def __init__(
@@ -75,7 +75,7 @@
 
     def jobs_of(self, client: str) -> Iterator[JobRecord]:
         """Yield the jobs of a client, as the copy knows them."""
-        for copied in self._configuration.mirror.below(JOBS):
+        for copied in self._configuration.mirror.below(JOB_PREFIX):
             if copied.document['client'] == client:
                 yield copied.document
 
@@ -97,7 +97,7 @@
             chunks = await self._chunks(job)
             done = sum(chunk['done'] for chunk in chunks.values())
             failed = sum(chunk['failed'] for chunk in chunks.values())
-        return describe(found.job, done, failed)
+        return job_status(found.job, done, failed)
 
     async def results(self, client: str, job: str) -> AsyncIterator[bytes]:
         """Stream the results that there are, as JSON lines."""
@@ -114,11 +114,11 @@
             if isinstance(wanted, Refusal):
                 raise RefusedError(wanted)
             if found.job['state'] == CANCELLED:
-                return describe(
+                return job_status(
                     found.job, found.job['done'], found.job['failed']
                 )
             if await self._write(wanted, found.version):
-                return describe(wanted, wanted['done'], wanted['failed'])
+                return job_status(wanted, wanted['done'], wanted['failed'])
         raise refuse(STORE_UNSURE, 'The job kept changing', RETRY_AFTER)
 
     async def _write(self, job: JobRecord, version: int) -> bool:
@@ -164,7 +164,7 @@
                 )
 
 
-def describe(job: JobRecord, done: int, failed: int) -> JobStatus:
+def job_status(job: JobRecord, done: int, failed: int) -> JobStatus:
     """Show a job in the shape of this ecosystem."""
     return JobStatus(
         id=job['id'],
--- a/gentiantrestle/daemon/batch/gate.py
+++ b/gentiantrestle/daemon/batch/gate.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.batch.slots import Allowance
+from gentiantrestle.daemon.batch.caps import BatchCap
 from gentiantrestle.daemon.upstreams.service import Fleet, Upstream
 from gentiantrestle.models import DeploymentDoc
 
@@ -56,7 +56,7 @@
         """Heed each change of online load."""
         self._ctx = ctx
         self._fleet = fleet
-        self._allowances: dict[str, Allowance] = {}
+        self._allowances: dict[str, BatchCap] = {}
         self._slots: dict[str, list[Slot]] = {}
         self._waiting: list[Waiter] = []
         self._arrivals = count()
@@ -170,5 +170,5 @@
 
     def _cap(self, name: str, now: float) -> int:
         slots = self._fleet.settings(name)['slots']
-        allowance = self._allowances.setdefault(name, Allowance(slots))
+        allowance = self._allowances.setdefault(name, BatchCap(slots))
         return allowance.update(self._fleet.pressure(name, now), now)
--- a/gentiantrestle/daemon/batch/intake.py
+++ b/gentiantrestle/daemon/batch/parser.py
@@ -41,7 +41,7 @@
     digest: str
 
 
-def chunk_limit(body_size: int, line_size: int) -> int:
+def chunk_item_limit(body_size: int, line_size: int) -> int:
     """Return how many items a chunk holds, from sizes in bytes.
 
     A short job is split as well, so that several instances share it.
@@ -103,7 +103,7 @@
         if self._chunk and (full or len(self._chunk) >= self._limit):
             yield self._flush()
         if not self._seen:
-            self._limit = chunk_limit(self._body_size, len(line) + 1)
+            self._limit = chunk_item_limit(self._body_size, len(line) + 1)
         self._chunk.append(self._parse(line))
         self._chunk_bytes += len(line)
 
--- a/gentiantrestle/daemon/batch/records.py
+++ b/gentiantrestle/daemon/batch/records.py
@@ -6,7 +6,7 @@
 
 from gentiantrestle.errors import CONFLICT, NOT_FOUND, Refusal
 
-JOBS = 'jobs/'
+JOB_PREFIX = 'jobs/'
 RUNNING = 'running'
 COMPLETED = 'completed'
 CANCELLED = 'cancelled'
@@ -95,7 +95,7 @@
 
 def job_name(job: str) -> str:
     """Name a job's object."""
-    return JOBS + job
+    return JOB_PREFIX + job
 
 
 def chunk_prefix(job: str) -> str:
--- a/gentiantrestle/daemon/batch/service.py
+++ b/gentiantrestle/daemon/batch/service.py
@@ -5,13 +5,13 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.batch.accept import Acceptance
+from gentiantrestle.daemon.batch.acceptance import JobAcceptor
 from gentiantrestle.daemon.batch.board import Board
+from gentiantrestle.daemon.batch.client_jobs import ClientJobs
 from gentiantrestle.daemon.batch.gate import Gate
 from gentiantrestle.daemon.batch.item import Held, Tools
-from gentiantrestle.daemon.batch.reader import Reader
 from gentiantrestle.daemon.batch.records import (
-    JOBS,
+    JOB_PREFIX,
     RUNNING,
     ChunkRecord,
     Holder,
@@ -77,9 +77,9 @@
         self._stranded: dict[ChunkKey, float] = {}
         self._next_search = ctx.now()
         self._stopping = False
-        self.acceptance = Acceptance(ctx, store, configuration)
-        self.reader = Reader(ctx, store, configuration)
-        configuration.mirror.listen(JOBS, self._heed_job)
+        self.acceptor = JobAcceptor(ctx, store, configuration)
+        self.client_jobs = ClientJobs(ctx, store, configuration)
+        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
 
     async def run(self) -> None:
         """Work on batch jobs until cancelled."""
@@ -257,7 +257,7 @@
         document = copied.document or {}
         if document.get('state') == RUNNING:
             return
-        job = copied.name.removeprefix(JOBS)
+        job = copied.name.removeprefix(JOB_PREFIX)
         self._board.book.forget((job,))
         for key, task in tuple(self._runs.items()):
             if key.job == job:
--- a/gentiantrestle/daemon/entry/jobs.py
+++ b/gentiantrestle/daemon/entry/jobs.py
@@ -3,8 +3,8 @@
 from http import HTTPStatus
 from uuid import uuid4
 
-from gentiantrestle.daemon.batch.accept import Submission
-from gentiantrestle.daemon.batch.reader import describe
+from gentiantrestle.daemon.batch.acceptance import Submission
+from gentiantrestle.daemon.batch.client_jobs import job_status
 from gentiantrestle.daemon.entry.callers import KEY_HEADER
 from gentiantrestle.daemon.entry.routes import CLIENT, route
 from gentiantrestle.daemon.entry.service import Entry, Visit
@@ -29,9 +29,9 @@
         visit.req.body_size,
         settings.get('max_jobs', DEFAULT_MAX_JOBS),
     )
-    job = await entry.batch.acceptance.accept(submission)
+    job = await entry.batch.acceptor.accept(submission)
     return answer_json(
-        describe(job, job['done'], job['failed']), HTTPStatus.ACCEPTED
+        job_status(job, job['done'], job['failed']), HTTPStatus.ACCEPTED
     )
 
 
@@ -39,18 +39,18 @@
 async def list_jobs(entry: Entry, visit: Visit) -> Response:
     """List the client's jobs, the newest first."""
     jobs = sorted(
-        entry.batch.reader.jobs_of(visit.identity.client),
+        entry.batch.client_jobs.jobs_of(visit.identity.client),
         key=lambda job: job['created'],
         reverse=True,
     )
-    listed = [describe(job, job['done'], job['failed']) for job in jobs]
+    listed = [job_status(job, job['done'], job['failed']) for job in jobs]
     return answer_json({'object': 'list', 'data': listed})
 
 
 @route('GET', '/v1/batches/{job}', CLIENT)
 async def show_job(entry: Entry, visit: Visit) -> Response:
     """Show how far a job is."""
-    status = await entry.batch.reader.status(
+    status = await entry.batch.client_jobs.status(
         visit.identity.client,
         visit.fields['job'],
     )
@@ -60,7 +60,7 @@
 @route('GET', '/v1/batches/{job}/results', CLIENT)
 async def read_results(entry: Entry, visit: Visit) -> Response:
     """Stream the results that there are."""
-    lines = await entry.batch.reader.results(
+    lines = await entry.batch.client_jobs.results(
         visit.identity.client,
         visit.fields['job'],
     )
@@ -70,7 +70,7 @@
 @route('POST', '/v1/batches/{job}/cancel', CLIENT)
 async def cancel_job(entry: Entry, visit: Visit) -> Response:
     """Cancel a job."""
-    status = await entry.batch.reader.cancel(
+    status = await entry.batch.client_jobs.cancel(
         visit.identity.client,
         visit.fields['job'],
     )
--- a/gentiantrestle/daemon/report/service.py
+++ b/gentiantrestle/daemon/report/service.py
@@ -5,10 +5,10 @@
 from typing import Any, NamedTuple
 
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.batch.reader import Reader
+from gentiantrestle.daemon.batch.client_jobs import ClientJobs
 from gentiantrestle.daemon.batch.records import (
     COMPLETED,
-    JOBS,
+    JOB_PREFIX,
     JobRecord,
 )
 from gentiantrestle.daemon.batch.schedule import order_jobs
@@ -57,7 +57,7 @@
         ctx: Context,
         membership: Membership,
         configuration: Configuration,
-        reader: Reader,
+        reader: ClientJobs,
     ) -> None:
         """Answer peers that gather a report."""
         self._ctx = ctx
@@ -67,7 +67,7 @@
         self._counter = BurnCounter()
         self._ended: asyncio.Queue[JobRecord] = asyncio.Queue()
         membership.answer('report_request', self._answer_peer)
-        configuration.mirror.listen(JOBS, self._heed_job)
+        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
 
     async def run(self) -> None:
         """Count the jobs that end, by their deadlines, until cancelled."""
@@ -97,7 +97,8 @@
     async def risks(self) -> list[Risk]:
         """Predict the ends of the most urgent running jobs."""
         jobs = [
-            copied.document for copied in self._configuration.mirror.below(JOBS)
+            copied.document
+            for copied in self._configuration.mirror.below(JOB_PREFIX)
         ]
         urgent = order_jobs(jobs)[:MAX_JOBS]
         return [await self._risk(job) for job in urgent]
--- a/gentiantrestle/daemon/tree.py
+++ b/gentiantrestle/daemon/tree.py
@@ -48,7 +48,7 @@
         configuration = Configuration(ctx, store, membership)
         fleet = Fleet(ctx, configuration, membership)
         batch = Batch(ctx, store, configuration, membership, fleet)
-        reporter = Reporter(ctx, membership, configuration, batch.reader)
+        reporter = Reporter(ctx, membership, configuration, batch.client_jobs)
         return cls(
             Parts(
                 ctx=ctx,
--- a/tests/decisions/test_configuration.py
+++ b/tests/decisions/test_configuration.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gentiantrestle.config import Settings
-from gentiantrestle.daemon.batch.intake import chunk_limit
+from gentiantrestle.daemon.batch.parser import chunk_item_limit
 from gentiantrestle.daemon.configuration.admin import Proposal, decide
 from gentiantrestle.daemon.configuration.document import validate
 from gentiantrestle.daemon.configuration.mirror import Copied, Mirror
@@ -176,4 +176,4 @@
     [(0, 100, 256), (12000, 100, 16), (200000, 100, 200), (10**7, 100, 256)],
 )
 def test_short_jobs_are_split_too(body: int, line: int, limit: int) -> None:
-    assert chunk_limit(body, line) == limit
+    assert chunk_item_limit(body, line) == limit
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gentiantrestle.daemon.batch.slots import Allowance, target_cap
+from gentiantrestle.daemon.batch.caps import BatchCap, target_cap
 from gentiantrestle.daemon.online.admission import expected_wait
 from gentiantrestle.daemon.online.claims import Claim, Move, decide
 from gentiantrestle.daemon.online.clients import ClientShares
@@ -292,10 +292,10 @@
 
 
 def test_batch_yields_at_once_and_grows_after_calm() -> None:
-    allowance = Allowance(SLOTS)
+    allowance = BatchCap(SLOTS)
     for step in range(20):
         allowance.update(Pressure(0, 0), step)
-    assert allowance.cap == SLOTS
+    assert allowance.current == SLOTS
     assert allowance.update(Pressure(SLOTS, 0), 20) == 0
     assert allowance.update(Pressure(0, 0), 20.1) == 0
     assert allowance.update(Pressure(0, 0), 20.25) == 4
@@ -304,7 +304,7 @@
 
 def test_batch_cap_does_not_flap() -> None:
     """Gaps of 0.1 s between online requests leave the cap where it is."""
-    allowance = Allowance(SLOTS)
+    allowance = BatchCap(SLOTS)
     caps = []
     for step in range(100):
         busy = SLOTS if step % 2 else 0
