--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -79,7 +79,9 @@
             )
             return None
 
-    def apply_changes(self, found: Iterable[StoredObject], revision: int) -> None:
+    def apply_changes(
+        self, found: Iterable[StoredObject], revision: int
+    ) -> None:
         """Take in jobs that are new as of a revision of the store."""
         for stored in found:
             self.note(stored)
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -151,7 +151,9 @@
 
     def _build_peering(self) -> Peering:
         peers = self._peers
-        self._runner.live_instances = lambda: peers.working_runs(self._clock.now())
+        self._runner.live_instances = lambda: peers.working_runs(
+            self._clock.now()
+        )
         reader = ResultReader(
             self._parts.job_store, self._runner, peers, self._clock.now
         )
