--- a/gentiantrestle/gateway/fleet_state.py
+++ b/gentiantrestle/gateway/fleet_state.py
@@ -1,18 +1,18 @@
-"""What an instance believes of configuration and upstreams, and its age."""
+"""The configuration and the upstreams as this instance knows them."""
 
 from collections.abc import Callable, Iterable
 
 import xxhash
 
 from gentiantrestle import events
-from gentiantrestle.gateway.follower import LIST_ANEW, StoreHandlers
+from gentiantrestle.gateway.follower import NO_REVISION, StoreHandlers
 from gentiantrestle.gateway.ports import DocumentDecoder, StoredObject
 from gentiantrestle.gateway.roster import Roster
 from gentiantrestle.gateway.routing import Router
 
 
 class FleetState:
-    """Takes in the store's objects, from the store itself or from a peer."""
+    """Applies the store's objects, read from the store or from a peer."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._now = now
         self.config: StoredObject | None = None
         self.upstreams: dict[str, StoredObject] = {}
-        # The same entries have the same mark, whoever knows them.
+        # Equal on all instances that have the same entries.
         self.upstreams_fingerprint = 0
         self.on_change: Callable[[], None] = _nothing
 
@@ -38,39 +38,39 @@
         return self.router.table.version
 
     @property
-    def revision(self) -> int:
-        """Revision of the store that the upstreams' entries are from."""
+    def upstreams_revision(self) -> int:
+        """Revision of the store at which the upstreams' entries were read."""
         return self.roster.revision
 
     @property
     def lapse_left(self) -> float:
-        """How long entries that vanish count as lapsed, in s."""
-        return max(0, self.roster.away_until - self._now())
+        """How long entries that vanish still count as lapsed, in s."""
+        return max(0, self.roster.lapse_until - self._now())
 
-    def note_lapse(self, left: float) -> None:
-        """Take entries that vanish in the next ``left`` s for lapsed."""
-        self.roster.note_lapse(self._now() + left)
+    def expect_lapses(self, seconds: float) -> None:
+        """Treat entries that vanish within ``seconds`` as lapsed."""
+        self.roster.expect_lapses_until(self._now() + seconds)
 
     def config_handlers(self) -> StoreHandlers:
-        """Return what a follower of the configuration does."""
+        """Return the handlers for a follower of the configuration."""
         return StoreHandlers(
-            self._take_config,
-            self._take_config,
+            self._apply_configs,
+            self._apply_configs,
             _nothing,
-            lambda: self.config.revision if self.config else LIST_ANEW,
+            lambda: self.config.revision if self.config else NO_REVISION,
         )
 
     def upstream_handlers(self) -> StoreHandlers:
-        """Return what a follower of the upstreams' entries does."""
+        """Return the handlers for a follower of the upstreams' entries."""
         return StoreHandlers(
             self.replace_upstreams,
             self.change_upstreams,
             self._note_outage,
-            lambda: self.revision,
+            lambda: self.upstreams_revision,
         )
 
     def apply_config(self, stored: StoredObject) -> None:
-        """Put a configuration in force if it is newer."""
+        """Put a configuration in force if it is newer and can be read."""
         table = self._documents.read_table(stored)
         if table is None or not self.router.apply(table):
             return
@@ -88,30 +88,30 @@
         found: Iterable[StoredObject],
         revision: int,
     ) -> None:
-        """Take in the whole list of entries."""
-        listed = {one.name: one for one in found if not one.deleted}
+        """Apply the whole list of entries as of a revision."""
+        listed = {stored.name: stored for stored in found if not stored.deleted}
         now = self._now()
         for name in set(self.upstreams) - set(listed):
             self._remove(name, now)
-        for stored in listed.values():
-            self._put(stored, now)
-        self._note(revision)
+        for entry in listed.values():
+            self._put(entry, now)
+        self._finish_change(revision)
 
     def change_upstreams(
         self,
         found: Iterable[StoredObject],
         revision: int,
     ) -> None:
-        """Take in changed entries, in the order of their changes."""
+        """Apply changed entries, in the order of their changes."""
         now = self._now()
         for stored in found:
             if stored.deleted:
                 self._remove(stored.name, now)
             else:
                 self._put(stored, now)
-        self._note(revision)
+        self._finish_change(revision)
 
-    def _take_config(
+    def _apply_configs(
         self, found: Iterable[StoredObject], revision: int
     ) -> None:
         for stored in found:
@@ -136,11 +136,11 @@
     def _note_outage(self) -> None:
         self.roster.note_outage(self._now())
 
-    def _note(self, revision: int) -> None:
+    def _finish_change(self, revision: int) -> None:
         self.roster.revision = revision
         self.upstreams_fingerprint = _fingerprint(self.upstreams.values())
         entries = self.roster.entries()
-        draining = sum(one.draining for one in entries)
+        draining = sum(upstream.draining for upstream in entries)
         events.emit(
             events.ROSTER_CHANGED,
             revision=revision,
@@ -152,9 +152,9 @@
 
 
 def _fingerprint(entries: Iterable[StoredObject]) -> int:
-    listed = sorted((one.name, one.revision) for one in entries)
+    listed = sorted((entry.name, entry.revision) for entry in entries)
     return xxhash.xxh32_intdigest(repr(listed).encode())
 
 
 def _nothing() -> None:
-    """Do nothing until something is set."""
+    """Do nothing."""
--- a/gentiantrestle/gateway/follower.py
+++ b/gentiantrestle/gateway/follower.py
@@ -1,4 +1,4 @@
-"""Follows one kind of the store's objects by list and watch."""
+"""Keeps up with one kind of objects in the store by list and watch."""
 
 import asyncio
 import random
@@ -13,50 +13,56 @@
 )
 from gentiantrestle.store.client import StoreUnavailableError
 
-# A waiting watch is one call, however long it waits; one that has gone silent
-# must be found out within the 4 s in which nothing is asked of an instance.
+# A watch is one call however long it waits, but a silent connection must be
+# noticed within 4 s, the time in which nothing is required of an instance.
 WATCH_WAIT = 2.5  # seconds
-FIRST_WAIT = 0.05  # seconds: the first watch is to show that the store answers
+FIRST_WAIT = 0.05  # seconds; the first watch only shows that the store answers
 FIRST_BACKOFF = 0.1  # seconds
 MAX_BACKOFF = 1.0  # seconds
-# Lists after a dropped history are spread over this time.
+# New lists after a dropped history are spread over this time.
 RELIST_SPREAD = 0.3  # seconds
-LIST_ANEW = 0  # no revision of the store
+NO_REVISION = 0  # not a revision of the store: everything has to be listed
 
 
 class WatchGate(asyncio.Event):
-    """Open while the store is to be asked."""
+    """Set while the store is to be watched."""
 
     @classmethod
     def always_open(cls) -> 'WatchGate':
-        """Return one that is never closed."""
+        """Return a gate that is set from the start."""
         gate = cls()
         gate.set()
         return gate
 
 
 class StoreHandlers(NamedTuple):
-    """What a follower does with what it reads."""
+    """What a follower calls with what it reads."""
 
+    # All objects of the kind, and the revision of the list.
     replace: Callable[[Iterable[StoredObject], int], None]
+    # Changed objects, and the revision that they lead to.
     change: Callable[[Iterable[StoredObject], int], None]
-    lost: Callable[[], None]
-    # Up to which revision all changes are known, from whomever; 0 for none.
-    known: Callable[[], int]
+    # The store did not answer.
+    disconnected: Callable[[], None]
+    # Returns the revision up to which all changes are known, from the store
+    # or from other instances; NO_REVISION if none is.
+    known_revision: Callable[[], int]
 
 
 class WatchSpec(NamedTuple):
-    """What is followed; after changes a rest makes a series one call."""
+    """Which kind is followed, and how."""
 
     kind: str
-    rest: float  # seconds
-    wait: float = WATCH_WAIT  # seconds
-    # Read once at the start, whoever watches: callers wait for it.
+    # After changes, so that a series of them is read with one call.
+    pause: float  # seconds
+    max_wait: float = WATCH_WAIT  # seconds that one watch waits
+    # Read once at the start even if another instance watches: callers wait
+    # for it.
     read_at_start: bool = False
 
 
 class Backoff:
-    """Growing pauses with jitter between failed calls, in s."""
+    """Exponential pauses with jitter between failed calls, in s."""
 
     def __init__(self, rng: random.Random) -> None:
         """Start with the shortest pause."""
@@ -80,16 +86,16 @@
     def __init__(
         self,
         store: ObjectStore,
-        subject: WatchSpec,
-        sink: StoreHandlers,
+        spec: WatchSpec,
+        handlers: StoreHandlers,
         rng: random.Random,
         gate: WatchGate,
     ) -> None:
-        """Ask nothing of the store while ``gate`` is closed."""
+        """Follow ``spec.kind`` while ``gate`` is set."""
         self._store = store
-        self._kind = subject.kind
-        self._subject = subject
-        self._sink = sink
+        self._kind = spec.kind
+        self._spec = spec
+        self._handlers = handlers
         self._rng = rng
         self._gate = gate
         self._backoff = Backoff(rng)
@@ -99,63 +105,67 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            if not self._gate.is_set() and not self._starts_with_it:
-                self._forget()
+            if not self._gate.is_set() and not self._needs_first_read:
+                self._reset()
                 await self._gate.wait()
             try:
                 await self._step()
             except StoreUnavailableError as exc:
-                self._note_lost(exc)
+                self._note_disconnected(exc)
                 await asyncio.sleep(self._backoff.next_pause())
             except HistoryGoneError:
                 events.emit(events.HISTORY_GONE, kind=self._kind)
-                self._revision = LIST_ANEW
+                self._revision = NO_REVISION
                 await asyncio.sleep(self._rng.random() * RELIST_SPREAD)
 
     async def _step(self) -> None:
         if self._revision is None:
-            self._revision = self._sink.known()
-        if self._revision == LIST_ANEW:
+            self._revision = self._handlers.known_revision()
+        if self._revision == NO_REVISION:
             await self._list()
             return
-        wait = self._subject.wait if self.connected else FIRST_WAIT
-        page = await self._store.watch(self._kind, self._revision, wait)
-        self._note_back()
+        max_wait = self._spec.max_wait if self.connected else FIRST_WAIT
+        page = await self._store.watch(self._kind, self._revision, max_wait)
+        self._note_connected()
         self._revision = page.revision
         if page.entries:
-            self._sink.change(page.entries, page.revision)
-            await asyncio.sleep(self._subject.rest)
+            self._handlers.change(page.entries, page.revision)
+            await asyncio.sleep(self._spec.pause)
 
     async def _list(self) -> None:
         found: list[StoredObject] = []
         page = await self._store.list_page(self._kind, '')
         found.extend(page.entries)
-        # The first page's revision: later changes are seen again, none lost.
+        # With the first page's revision, changes made while the other pages
+        # are read are seen again by the watch, and none is missed.
         revision = page.revision
         while page.more and page.entries:
             page = await self._store.list_page(self._kind, found[-1].name)
             found.extend(page.entries)
-        self._note_back()
-        self._sink.replace(found, revision)
+        self._note_connected()
+        self._handlers.replace(found, revision)
         self._revision = revision
 
     @property
-    def _starts_with_it(self) -> bool:
-        """Tell whether this kind has to be read before anything is served."""
-        return self._subject.read_at_start and self._sink.known() == LIST_ANEW
-
-    def _forget(self) -> None:
-        """Go on at what is known by then when there is duty again."""
+    def _needs_first_read(self) -> bool:
+        """Whether this kind must still be read before anything is served."""
+        return (
+            self._spec.read_at_start
+            and self._handlers.known_revision() == NO_REVISION
+        )
+
+    def _reset(self) -> None:
+        """Start from what is known by then when the gate is set again."""
         self._revision = None
         self.connected = False
 
-    def _note_lost(self, exc: Exception) -> None:
+    def _note_disconnected(self, exc: Exception) -> None:
         if self.connected:
             events.emit(events.FOLLOW_LOST, kind=self._kind, error=repr(exc))
         self.connected = False
-        self._sink.lost()
+        self._handlers.disconnected()
 
-    def _note_back(self) -> None:
+    def _note_connected(self) -> None:
         self._backoff.reset()
         if not self.connected:
             events.emit(
--- a/gentiantrestle/gateway/gossip.py
+++ b/gentiantrestle/gateway/gossip.py
@@ -1,8 +1,9 @@
-"""Tells the other instances of loads and versions, by datagrams.
+"""Exchanges loads and versions with the other instances, by datagrams.
 
-Answers the load of many instances: each tells its zone often and other zones
-rarely. In large fleets one instance of each zone adds the loads up, tells those
-of other zones often, and passes the sum of all other zones on to its own.
+Handles fleets of many instances: each sends often to its own zone and rarely
+to other zones. In large fleets one instance of each zone, the aggregator, adds
+up its zone's loads, sends the sum often to the aggregators of other zones, and
+passes the sum of all other zones on to its own zone.
 """
 
 import asyncio
@@ -11,18 +12,23 @@
 from gentiantrestle import events
 from gentiantrestle.daemon.membership.codec import BadFrameError, decode
 from gentiantrestle.gateway.gossip_messages import (
-    Heard,
     Identity,
-    News,
-    Own,
-    read_peer,
-    read_told,
-    write_pulse,
+    InstanceStatus,
+    JobNotices,
+    PulseDetails,
+    decode_loads,
+    decode_peer,
+    encode_pulse,
+)
+from gentiantrestle.gateway.loads import (
+    EMPTY_REPORT,
+    LoadBoard,
+    LoadReport,
+    combine,
 )
-from gentiantrestle.gateway.loads import NO_TOLD, LoadBoard, LoadReport, combine
 from gentiantrestle.gateway.peers import (
     MIN_INTERVAL,
-    SUMMARY_GAP,
+    SUMMARY_THRESHOLD,
     Peer,
     PeerList,
     remote_interval,
@@ -30,75 +36,80 @@
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
-# Datagrams an instance may send in a second to those of its own zone.
-NEAR_RATE = 90
-MAX_INTERVAL = 0.4  # seconds until the same is told again
-ZONE_GAP = 0.1  # seconds between two sums told to another zone
+# How many datagrams an instance may send to its own zone.
+LOCAL_RATE = 90  # datagrams per second
+MAX_INTERVAL = 0.4  # seconds until an unchanged state is sent again
+SUMMARY_INTERVAL = 0.1  # seconds between two summaries to another zone
 MAX_HOSTS = 100  # hosts in one datagram
-FAR = 'all other zones'  # the name under which their sum stands
+REMOTE_ZONES = 'all other zones'  # stands for a peer on the load board
 
 
-def near_gap(hosts: int) -> float:
-    """Return how often ``hosts`` others of the own zone are told, in s."""
-    return max(MIN_INTERVAL, hosts / NEAR_RATE)
+def local_interval(hosts: int) -> float:
+    """Return the time between datagrams to ``hosts`` of the own zone, in s."""
+    return max(MIN_INTERVAL, hosts / LOCAL_RATE)
 
 
 class SendSchedule:
-    """When a group of hosts is told again; no I/O."""
+    """When a state is sent to a group of hosts; no I/O."""
 
     def __init__(self) -> None:
-        """Tell at the first question."""
-        self._state: object = None
-        self._at = float('-inf')
-
-    def is_due(self, state: object, gap: float, now: float) -> bool:
-        """Tell whether it is time to tell a state, at most each ``gap`` s."""
-        since = now - self._at
-        # Half a step early, so that a late timer doesn't skip a turn.
-        if since < gap - MIN_INTERVAL / 2:
+        """Make the first state due at once."""
+        self._last_state: object = None
+        self._last_sent = float('-inf')
+
+    def is_due(self, state: object, interval: float, now: float) -> bool:
+        """Return whether to send a state now; if so, note it as sent.
+
+        A changed state is due ``interval`` s after the last one, an unchanged
+        one not before ``MAX_INTERVAL``.
+        """
+        elapsed = now - self._last_sent
+        # Allow half of MIN_INTERVAL less, so a late timer doesn't skip a turn.
+        if elapsed < interval - MIN_INTERVAL / 2:
             return False
-        if state == self._state and since < max(gap, MAX_INTERVAL):
+        if state == self._last_state and elapsed < max(interval, MAX_INTERVAL):
             return False
-        self._state = state
-        self._at = now
+        self._last_state = state
+        self._last_sent = now
         return True
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends and hears what instances tell each other all the time."""
+    """Sends pulses to the other instances and receives theirs."""
 
     def __init__(
         self,
         identity: Identity,
         peers: PeerList,
         board: LoadBoard,
-        own: Callable[[], Own],
+        read_status: Callable[[], InstanceStatus],
         now: Callable[[], float],
     ) -> None:
-        """Tell what ``own`` returns; note others' loads on ``board``."""
-        self._me = identity
+        """Send what ``read_status`` returns; put peers' loads on ``board``."""
+        self._identity = identity
         self._peers = peers
         self._board = board
-        self._own = own
+        self._read_status = read_status
         self._now = now
-        self._number = 0
-        self._near = SendSchedule()
-        self._far = SendSchedule()
-        self._zones = SendSchedule()
+        self._sequence = 0
+        self._local_schedule = SendSchedule()
+        self._remote_schedule = SendSchedule()
+        self._summary_schedule = SendSchedule()
         self._transport: asyncio.DatagramTransport | None = None
-        self.on_heard: Callable[[Heard], None] = _nothing
+        # Called after each pulse from another instance.
+        self.on_pulse: Callable[[JobNotices], None] = _ignore
 
     async def run(self) -> None:
-        """Tell and sweep until cancelled."""
+        """Send pulses and remove silent instances until cancelled."""
         loop = asyncio.get_running_loop()
         endpoint = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=(self._me.host, self._me.port)
+            lambda: self, local_addr=(self._identity.host, self._identity.port)
         )
         self._transport = endpoint[0]
         try:
             while True:
-                self._tell()
-                self._sweep()
+                self._send_due()
+                self._remove_silent()
                 await asyncio.sleep(self._pause)
         finally:
             self._transport.close()
@@ -108,102 +119,131 @@
         payload: bytes,
         sender: tuple[str, int],
     ) -> None:
-        """Take in what another instance tells."""
+        """Take in a pulse; one that can't be decoded is logged and dropped."""
         try:
             pulse = decode(payload).pulse
         except BadFrameError as exc:
             events.emit(events.PULSE_UNREADABLE, error=repr(exc))
             return
-        if pulse is not None and pulse.instance != self._me.instance:
-            self._hear(pulse)
+        if pulse is not None and pulse.instance != self._identity.instance:
+            self._receive(pulse)
 
     def announce(self) -> None:
-        """Tell the others now."""
+        """Send this instance's status and loads to all hosts now."""
         if self._transport is not None:
             hosts = self._peers.hosts(self._now())
-            self._send(hosts, self._own(), News(self._board.own_loads))
+            self._send(
+                hosts, self._read_status(), PulseDetails(self._board.own_loads)
+            )
 
-    def _hear(self, pulse: ttypes.Pulse) -> None:
+    def _receive(self, pulse: ttypes.Pulse) -> None:
         now = self._now()
-        newcomer = self._peers.update(read_peer(pulse, now))
-        self._peers.learn_hosts(pulse.hosts or (), now)
-        self._board.set_peer_report(pulse.instance, read_told(pulse, now))
+        is_new = self._peers.update(decode_peer(pulse, now))
+        self._peers.add_hosts(pulse.hosts or (), now)
+        self._board.set_peer_report(pulse.instance, decode_loads(pulse, now))
         if pulse.zone_summary is not None:
             self._board.set_peer_report(
-                pulse.zone, read_told(pulse.zone_summary, now)
+                pulse.zone, decode_loads(pulse.zone_summary, now)
             )
         if pulse.far_summary is not None:
-            self._board.set_peer_report(FAR, read_told(pulse.far_summary, now))
-        if newcomer:
+            self._board.set_peer_report(
+                REMOTE_ZONES, decode_loads(pulse.far_summary, now)
+            )
+        if is_new:
             events.emit(events.MEMBER_ALIVE, instance=pulse.instance)
             hosts = self._peers.hosts(now)[:MAX_HOSTS]
-            self._send([pulse.host], self._own(), News({}, hosts))
-        self.on_heard(Heard(tuple(pulse.ended), tuple(pulse.taken)))
+            self._send(
+                [pulse.host], self._read_status(), PulseDetails({}, hosts)
+            )
+        self.on_pulse(JobNotices(tuple(pulse.ended), tuple(pulse.taken)))
 
-    def _tell(self) -> None:
-        """Tell each group what is new, when it is due."""
+    def _send_due(self) -> None:
+        """Send to each group of hosts whose turn it is."""
         now = self._now()
-        near, far = self._peers.split_hosts(now)
-        gap = remote_interval(len(far))
-        own = self._own()
-        # The time to spare runs down all the while: that alone is no news.
-        state = (own.without_spare(), dict(self._board.own_loads))
-        sums = gap > SUMMARY_GAP and self._peers.is_aggregator(now)
-        beyond = self._sum_of_zones(now) if sums else None
-        if self._near.is_due((state, beyond), near_gap(len(near)), now):
-            self._send(near, own, News(self._board.own_loads, far=beyond))
-        if self._far.is_due(state, gap, now):
-            self._tell_far(far, own, gap)
-        if sums and self._zones.is_due(now, ZONE_GAP, now):
-            self._tell_zones(own, now)
+        local, remote = self._peers.split_hosts(now)
+        interval = remote_interval(len(remote))
+        status = self._read_status()
+        # Slack shrinks all the time: that alone is not a change.
+        state = (status.without_slack(), dict(self._board.own_loads))
+        sends_summary = (
+            interval > SUMMARY_THRESHOLD and self._peers.is_aggregator(now)
+        )
+        remote_summary = self._combine_remote(now) if sends_summary else None
+        if self._local_schedule.is_due(
+            (state, remote_summary), local_interval(len(local)), now
+        ):
+            self._send(
+                local,
+                status,
+                PulseDetails(
+                    self._board.own_loads, remote_summary=remote_summary
+                ),
+            )
+        if self._remote_schedule.is_due(state, interval, now):
+            self._send_remote(remote, status, interval)
+        if sends_summary and self._summary_schedule.is_due(
+            now, SUMMARY_INTERVAL, now
+        ):
+            self._send_summary(status, now)
 
     @property
     def _pause(self) -> float:
         """Seconds until one of the groups can be due."""
-        near = near_gap(len(self._peers.near()))
-        return max(MIN_INTERVAL, min(near, ZONE_GAP))
+        interval = local_interval(len(self._peers.local_peers()))
+        return max(MIN_INTERVAL, min(interval, SUMMARY_INTERVAL))
 
-    def _tell_far(self, hosts: list[str], own: Own, gap: float) -> None:
-        if gap > SUMMARY_GAP:
-            self._send(hosts, own.without_loads(), News({}))
+    def _send_remote(
+        self, hosts: list[str], status: InstanceStatus, interval: float
+    ) -> None:
+        if interval > SUMMARY_THRESHOLD:
+            self._send(hosts, status.without_queues(), PulseDetails({}))
         else:
-            self._send(hosts, own, News(self._board.own_loads))
+            self._send(hosts, status, PulseDetails(self._board.own_loads))
 
-    def _tell_zones(self, own: Own, now: float) -> None:
-        """Tell the other zones' speakers of this zone's loads."""
-        mates = [one.instance for one in self._peers.near()]
-        mine = NO_TOLD._replace(
+    def _send_summary(self, status: InstanceStatus, now: float) -> None:
+        """Send this zone's load summary to the other zones' aggregators."""
+        local = [peer.instance for peer in self._peers.local_peers()]
+        own = EMPTY_REPORT._replace(
             loads=self._board.own_loads,
-            waiting=own.waiting,
-            batch_backlog=own.batch,
+            waiting=status.waiting,
+            batch_backlog=status.batch_backlog,
+        )
+        summary = combine((own, self._board.combine_peers(local, now)), now)
+        hosts = [peer.host for peer in self._peers.remote_aggregators(now)]
+        self._send(
+            hosts,
+            status.without_queues(),
+            PulseDetails({}, zone_summary=summary),
         )
-        zone = combine((mine, self._board.combine_peers(mates, now)), now)
-        hosts = [one.host for one in self._peers.remote_aggregators(now)]
-        self._send(hosts, own.without_loads(), News({}, zone=zone))
 
-    def _sum_of_zones(self, now: float) -> LoadReport:
-        zones = {one.zone for one in self._peers.remote_aggregators(now)}
+    def _combine_remote(self, now: float) -> LoadReport:
+        zones = {peer.zone for peer in self._peers.remote_aggregators(now)}
         # The time is left out, so that equal sums are equal.
         return self._board.combine_peers(sorted(zones), now)._replace(
             received_at=0
         )
 
-    def _send(self, hosts: Iterable[str], own: Own, news: News) -> None:
-        self._number += 1
-        payload = write_pulse(self._me, own, self._number, news)
+    def _send(
+        self,
+        hosts: Iterable[str],
+        status: InstanceStatus,
+        details: PulseDetails,
+    ) -> None:
+        self._sequence += 1
+        payload = encode_pulse(self._identity, status, self._sequence, details)
         for host in hosts:
-            self._transport.sendto(payload, (host, self._me.port))
+            self._transport.sendto(payload, (host, self._identity.port))
 
-    def _sweep(self) -> None:
-        for gone in self._peers.remove_silent(self._now()):
-            events.emit(events.MEMBER_LOST, instance=gone.instance)
-            self._board.forget(gone.instance)
+    def _remove_silent(self) -> None:
+        for peer in self._peers.remove_silent(self._now()):
+            events.emit(events.MEMBER_LOST, instance=peer.instance)
+            self._board.forget(peer.instance)
 
 
-def _nothing(heard: Heard) -> None:
-    """Do nothing until something is set."""
+def _ignore(notices: JobNotices) -> None:
+    """Do nothing until a handler is set."""
 
 
 def peer_address(peer: Peer, port: int) -> Address:
-    """Return where an instance answers calls; ports are the same on all."""
+    """Return where an instance answers calls; ``port`` is the same on all."""
     return Address(peer.host, port)
--- a/gentiantrestle/gateway/gossip_messages.py
+++ b/gentiantrestle/gateway/gossip_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, as thrift messages and back; no I/O."""
+"""Encodes and decodes the datagrams between instances; no I/O."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -11,38 +11,46 @@
 MS_PER_S = 1000
 
 
-class Own(NamedTuple):
-    """What this instance tells of itself."""
+class InstanceStatus(NamedTuple):
+    """What this instance sends about itself, besides its loads.
+
+    ``waiting`` counts callers waiting for a slot; ``ended_jobs`` are jobs
+    that callers ended here lately, ``taken_over_runs`` the runs of other
+    instances whose jobs this one runs now.
+    """
 
     leaving: bool
     config_version: int
     store_reached: bool
     waiting: int
-    ended: tuple[str, ...]
-    taken: tuple[str, ...]
-    batch: BatchBacklog
+    ended_jobs: tuple[str, ...]
+    taken_over_runs: tuple[str, ...]
+    batch_backlog: BatchBacklog
     upstreams_revision: int
     jobs_revision: int
     upstreams_fingerprint: int
 
-    def without_spare(self) -> 'Own':
-        """Leave out the time that batch has to spare."""
-        return self._replace(batch=self.batch._replace(slack=0))
+    def without_slack(self) -> 'InstanceStatus':
+        """Return a copy with the slack of the batch backlog set to 0."""
+        return self._replace(batch_backlog=self.batch_backlog._replace(slack=0))
 
-    def without_loads(self) -> 'Own':
-        """Leave out what is added up for other zones."""
-        return self._replace(waiting=0, batch=BatchBacklog())
+    def without_queues(self) -> 'InstanceStatus':
+        """Return a copy without what the zone's load summary contains."""
+        return self._replace(waiting=0, batch_backlog=BatchBacklog())
 
 
-class Heard(NamedTuple):
-    """What another instance says of jobs: ended ones, and runs taken over."""
+class JobNotices(NamedTuple):
+    """What a pulse says of jobs: ids of ended ones, and runs taken over."""
 
-    ended: tuple[str, ...]
-    taken: tuple[str, ...]
+    ended_jobs: tuple[str, ...]
+    taken_over_runs: tuple[str, ...]
 
 
 class Identity(NamedTuple):
-    """Who this instance is; the incarnation grows with each start."""
+    """Who this instance is; the incarnation grows with each start.
+
+    ``port`` is that of the traffic between instances, the same on all hosts.
+    """
 
     instance: str
     incarnation: int
@@ -51,47 +59,58 @@
     port: int
 
 
-class News(NamedTuple):
-    """What a datagram carries beside the sender's own state."""
+class PulseDetails(NamedTuple):
+    """What a pulse carries besides the sender's status.
+
+    ``zone_summary`` sums up the sender's zone, ``remote_summary`` all other
+    zones; ``hosts`` are those the sender knows.
+    """
 
     loads: Mapping[str, Load]
     hosts: list[str] | None = None
-    zone: LoadReport | None = None
-    far: LoadReport | None = None
+    zone_summary: LoadReport | None = None
+    remote_summary: LoadReport | None = None
 
 
-def write_pulse(me: Identity, own: Own, number: int, news: News) -> bytes:
-    """Encode what an instance tells, for one datagram."""
+def encode_pulse(
+    identity: Identity,
+    status: InstanceStatus,
+    sequence: int,
+    details: PulseDetails,
+) -> bytes:
+    """Encode a pulse as the payload of one datagram."""
     state = ttypes.MemberState.SERVING
-    if own.leaving:
+    if status.leaving:
         state = ttypes.MemberState.LEAVING
     pulse = ttypes.Pulse(
-        instance=me.instance,
-        incarnation=me.incarnation,
-        number=number,
-        host=me.host,
-        zone=me.zone,
+        instance=identity.instance,
+        incarnation=identity.incarnation,
+        number=sequence,
+        host=identity.host,
+        zone=identity.zone,
         state=state,
-        config_version=own.config_version,
-        store_reached=own.store_reached,
-        waiting=own.waiting,
-        loads=_pack_loads(news.loads),
-        hosts=news.hosts,
-        ended=list(own.ended),
-        taken=list(own.taken),
-        batch_waiting=own.batch.count,
-        batch_spare=int(own.batch.slack * MS_PER_S),
-        upstreams_revision=own.upstreams_revision,
-        jobs_revision=own.jobs_revision,
-        upstreams_mark=own.upstreams_fingerprint,
-        zone_summary=news.zone and _pack_summary(news.zone),
-        far_summary=news.far and _pack_summary(news.far),
+        config_version=status.config_version,
+        store_reached=status.store_reached,
+        waiting=status.waiting,
+        loads=_pack_loads(details.loads),
+        hosts=details.hosts,
+        ended=list(status.ended_jobs),
+        taken=list(status.taken_over_runs),
+        batch_waiting=status.batch_backlog.count,
+        batch_spare=int(status.batch_backlog.slack * MS_PER_S),
+        upstreams_revision=status.upstreams_revision,
+        jobs_revision=status.jobs_revision,
+        upstreams_mark=status.upstreams_fingerprint,
+        zone_summary=details.zone_summary
+        and _pack_summary(details.zone_summary),
+        far_summary=details.remote_summary
+        and _pack_summary(details.remote_summary),
     )
     return encode(ttypes.Envelope(call=0, pulse=pulse))[LENGTH.size :]
 
 
-def read_peer(pulse: ttypes.Pulse, now: float) -> Peer:
-    """Return who told, as heard ``now``."""
+def decode_peer(pulse: ttypes.Pulse, now: float) -> Peer:
+    """Return the sender of a pulse that arrived at ``now``."""
     return Peer(
         pulse.instance,
         pulse.incarnation,
@@ -108,12 +127,23 @@
     )
 
 
-def read_told(told: ttypes.Pulse | ttypes.Summary, now: float) -> LoadReport:
-    """Return the loads that a pulse or a summary tells of."""
-    loads = {one.upstream: Load(one.online, one.batch) for one in told.loads}
-    batch = BatchBacklog(told.batch_waiting, told.batch_spare / MS_PER_S)
+def decode_loads(
+    message: ttypes.Pulse | ttypes.Summary,
+    now: float,
+) -> LoadReport:
+    """Return the loads in a pulse or summary that arrived at ``now``."""
+    loads = {
+        load.upstream: Load(load.online, load.batch) for load in message.loads
+    }
+    backlog = BatchBacklog(
+        message.batch_waiting, message.batch_spare / MS_PER_S
+    )
     return LoadReport(
-        now, loads, told.waiting, batch, isinstance(told, ttypes.Summary)
+        now,
+        loads,
+        message.waiting,
+        backlog,
+        isinstance(message, ttypes.Summary),
     )
 
 
@@ -124,10 +154,10 @@
     ]
 
 
-def _pack_summary(told: LoadReport) -> ttypes.Summary:
+def _pack_summary(report: LoadReport) -> ttypes.Summary:
     return ttypes.Summary(
-        loads=_pack_loads(told.loads),
-        waiting=told.waiting,
-        batch_waiting=told.batch_backlog.count,
-        batch_spare=int(told.batch_backlog.slack * MS_PER_S),
+        loads=_pack_loads(report.loads),
+        waiting=report.waiting,
+        batch_waiting=report.batch_backlog.count,
+        batch_spare=int(report.batch_backlog.slack * MS_PER_S),
     )
--- a/gentiantrestle/gateway/loads.py
+++ b/gentiantrestle/gateway/loads.py
@@ -1,38 +1,49 @@
-"""Who runs how much on which upstream, own and told by peers; no I/O."""
+"""Load of each upstream: own requests and the peers' load reports; no I/O."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Loads that a peer told longer ago than this are not counted any more.
+# Load reports received longer ago than this are ignored.
 STALE_AFTER = 1.0  # seconds
 
 
 class Load(NamedTuple):
-    """Requests in flight on one upstream, and callers waiting for it."""
+    """Online and batch requests in flight on one upstream."""
 
     online: int = 0
     batch: int = 0
 
     @property
     def total(self) -> int:
-        """Add both kinds up."""
+        """Online and batch requests together."""
         return self.online + self.batch
 
 
 class BatchBacklog(NamedTuple):
-    """Batch items that wait at one instance; ``spare`` is in s."""
+    """Batch items waiting at one instance, and the slack of the first in s.
+
+    Slack is the time an item can still wait and be in time; below zero it
+    can't be in time any more.
+    """
 
     count: int = 0
     slack: float = 0
 
     @property
     def priority_key(self) -> tuple[bool, float]:
-        """Order instances by their first item: which one goes first."""
+        """Sort key: the instance whose first item goes first sorts lowest.
+
+        Least slack goes first; items that can't be in time go last.
+        """
         return self.slack < 0, self.slack
 
 
 class LoadReport(NamedTuple):
-    """What one peer said of its loads, and when it was heard."""
+    """Loads as one peer reported them, or the sum of several reports.
+
+    ``received_at`` is on this instance's clock, ``waiting`` counts callers
+    waiting for a slot, ``is_summary`` marks a sum over instances.
+    """
 
     received_at: float
     loads: dict[str, Load]
@@ -42,27 +53,29 @@
 
 
 NO_LOAD = Load()
-NO_TOLD = LoadReport(0, {}, 0)
+EMPTY_REPORT = LoadReport(0, {}, 0)
 
 
-def combine(every: Iterable[LoadReport], now: float) -> LoadReport:
-    """Add up loads; of the batch work the tightest instance's stands."""
+def combine(reports: Iterable[LoadReport], now: float) -> LoadReport:
+    """Add up loads and waiting callers; keep the most urgent batch backlog."""
     loads: dict[str, Load] = {}
     waiting = 0
-    batches = []
-    for told in every:
-        waiting += told.waiting
-        if told.batch_backlog.count:
-            batches.append(told.batch_backlog)
-        for upstream, load in told.loads.items():
+    backlogs = []
+    for report in reports:
+        waiting += report.waiting
+        if report.batch_backlog.count:
+            backlogs.append(report.batch_backlog)
+        for upstream, load in report.loads.items():
             sum_so_far = loads.get(upstream, NO_LOAD)
             loads[upstream] = Load(
                 sum_so_far.online + load.online, sum_so_far.batch + load.batch
             )
-    tightest = min(
-        batches, key=lambda one: one.priority_key, default=BatchBacklog()
+    most_urgent = min(
+        backlogs,
+        key=lambda backlog: backlog.priority_key,
+        default=BatchBacklog(),
     )
-    return LoadReport(now, loads, waiting, tightest)
+    return LoadReport(now, loads, waiting, most_urgent)
 
 
 class LoadBoard:
@@ -71,10 +84,10 @@
     def __init__(self) -> None:
         """Start with nothing in flight."""
         self.own_loads: dict[str, Load] = {}
-        self._told: dict[str, LoadReport] = {}
+        self._reports: dict[str, LoadReport] = {}
 
     def add(self, upstream: str, *, online: int = 0, batch: int = 0) -> None:
-        """Count own requests in (or, below zero, out)."""
+        """Add to the number of own requests; negative numbers subtract."""
         load = self.own_loads.get(upstream, NO_LOAD)
         load = Load(load.online + online, load.batch + batch)
         if load.total:
@@ -82,27 +95,30 @@
             return
         self.own_loads.pop(upstream, None)
 
-    def set_peer_report(self, peer: str, told: LoadReport) -> None:
-        """Replace what a peer said before."""
-        self._told[peer] = told
+    def set_peer_report(self, peer: str, report: LoadReport) -> None:
+        """Replace a peer's load report."""
+        self._reports[peer] = report
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that is gone."""
-        self._told.pop(peer, None)
+        """Remove a peer's load report."""
+        self._reports.pop(peer, None)
 
     def combine_peers(self, peers: Iterable[str], now: float) -> LoadReport:
-        """Add up what some peers said lately, with the tightest batch."""
-        heard = [self._told[peer] for peer in peers if peer in self._told]
-        fresh = [told for told in heard if now - told.received_at < STALE_AFTER]
+        """Combine the reports of some peers that are not stale."""
+        known = [self._reports[peer] for peer in peers if peer in self._reports]
+        fresh = [
+            report for report in known if now - report.received_at < STALE_AFTER
+        ]
         return combine(fresh, now)
 
     def total_load(self, upstream: str, now: float) -> Load:
         """Add up the loads of all instances on one upstream."""
         loads = [self.own_loads.get(upstream, NO_LOAD)]
         loads.extend(
-            told.loads[upstream]
-            for told in self._told.values()
-            if upstream in told.loads and now - told.received_at < STALE_AFTER
+            report.loads[upstream]
+            for report in self._reports.values()
+            if upstream in report.loads
+            and now - report.received_at < STALE_AFTER
         )
         return Load(
             sum(load.online for load in loads),
@@ -110,32 +126,32 @@
         )
 
     def max_peer_batch(self, upstream: str, now: float) -> int:
-        """Return the most batch that one other instance has there."""
+        """Return the most batch requests that one peer has on an upstream."""
         return max(
             (
-                told.loads[upstream].batch
-                for told in self._told.values()
-                if upstream in told.loads
-                and now - told.received_at < STALE_AFTER
-                and not told.is_summary
+                report.loads[upstream].batch
+                for report in self._reports.values()
+                if upstream in report.loads
+                and now - report.received_at < STALE_AFTER
+                and not report.is_summary
             ),
             default=0,
         )
 
     def batch_ahead(self, own: BatchBacklog, now: float) -> int:
-        """Count the items at other instances that go before the own ones."""
+        """Count the peers' batch items that go before the own ones."""
         return sum(
-            told.batch_backlog.count
-            for told in self._told.values()
-            if now - told.received_at < STALE_AFTER
-            and told.batch_backlog.count
-            and told.batch_backlog.priority_key < own.priority_key
+            report.batch_backlog.count
+            for report in self._reports.values()
+            if now - report.received_at < STALE_AFTER
+            and report.batch_backlog.count
+            and report.batch_backlog.priority_key < own.priority_key
         )
 
     def waiting_at_peers(self, now: float) -> int:
-        """Count the callers that wait at the peers."""
+        """Count the callers that wait for a slot at the peers."""
         return sum(
-            told.waiting
-            for told in self._told.values()
-            if now - told.received_at < STALE_AFTER
+            report.waiting
+            for report in self._reports.values()
+            if now - report.received_at < STALE_AFTER
         )
--- a/gentiantrestle/gateway/peer_calls.py
+++ b/gentiantrestle/gateway/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between instances: copies of what is known, results of jobs."""
+"""Calls between instances: copies of state, and results of jobs."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,29 +18,30 @@
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
-ROUND_TIME = 0.1  # seconds between looks at who is ahead
+SYNC_INTERVAL = 0.1  # seconds between checks for a peer with newer state
 
 
-class Relay:
-    """Fetches from and serves the other instances."""
+class PeerCalls:
+    """Calls the other instances and answers their calls."""
 
     def __init__(
         self,
-        copies: StateCopier,
+        copier: StateCopier,
         peers: PeerList,
         index: JobIndex,
-        rule: CopySourceSelector,
+        selector: CopySourceSelector,
         port: int,
     ) -> None:
         """Call the others at ``port``, which is the same on all hosts."""
-        self._copies = copies
+        self._copier = copier
         self._peers = peers
         self._index = index
-        self._rule = rule
+        self._selector = selector
         self._port = port
         self._client = PeerClient()
         self._server = PeerServer(self._answer)
-        self.make_sure: Callable[[JobEntry], Awaitable[bool]] = _never
+        # Returns whether this instance knows all results of a job.
+        self.confirm_results: Callable[[JobEntry], Awaitable[bool]] = _never
 
     async def serve(self, host: str) -> None:
         """Answer the other instances until cancelled."""
@@ -49,60 +50,66 @@
     async def run(
         self,
         now: Callable[[], float],
-        on_round: Callable[[], None],
+        before_sync: Callable[[], None],
     ) -> None:
-        """Keep up with those who watch the store."""
+        """Copy newer state from other instances until cancelled."""
         while True:
-            on_round()
-            at = now()
-            peer = self._rule.choose(
-                self._copies.known, self._peers.alive(at), at
+            before_sync()
+            checked_at = now()
+            peer = self._selector.choose(
+                self._copier.revisions,
+                self._peers.alive(checked_at),
+                checked_at,
             )
             if peer is not None:
-                await self._copy(peer)
-            await asyncio.sleep(ROUND_TIME)
+                await self._copy_from(peer)
+            await asyncio.sleep(SYNC_INTERVAL)
 
-    async def results(self, peer: Peer, entry: JobEntry) -> bool:
-        """Read a job's new results from its runner; False if it can't say."""
-        asked = ttypes.ResultsRequest(entry.job.id, len(entry.results))
+    async def fetch_results(self, peer: Peer, entry: JobEntry) -> bool:
+        """Add a job's new results from the instance that runs it.
+
+        Returns False if that instance didn't answer or can't tell.
+        """
+        request = ttypes.ResultsRequest(entry.job.id, len(entry.results))
         try:
-            told = (await self._call(peer, results_request=asked)).results
+            reply = (await self._call(peer, results_request=request)).results
         except PeerError as exc:
             events.emit(
                 events.PEER_FAILED, instance=peer.instance, error=repr(exc)
             )
             return False
-        if told is None or not told.known:
+        if reply is None or not reply.known:
             return False
-        if asked.after == len(entry.results):
+        # Results may have been added from elsewhere during the call.
+        if request.after == len(entry.results):
             rows = [
                 ItemResult(row.item, row.completed, row.output)
-                for row in told.rows
+                for row in reply.rows
             ]
-            entry.add_peer_results(rows, told.chunks)
+            entry.add_peer_results(rows, reply.chunks)
         return True
 
-    async def _copy(self, peer: Peer) -> None:
-        asked = self._copies.request()
+    async def _copy_from(self, peer: Peer) -> None:
+        request = self._copier.build_request()
         try:
-            told = (await self._call(peer, copy_request=asked)).copy
+            copy = (await self._call(peer, copy_request=request)).copy
         except PeerError as exc:
             events.emit(
                 events.PEER_FAILED, instance=peer.instance, error=repr(exc)
             )
             return
-        if told is not None:
-            self._copies.take(told)
-            self._log(peer)
+        if copy is not None:
+            self._copier.apply_copy(copy)
+            self._log_copied(peer)
 
-    def _log(self, peer: Peer) -> None:
-        known = self._copies.known
+    def _log_copied(self, peer: Peer) -> None:
+        revisions = self._copier.revisions
         events.emit(
             events.STATE_COPIED,
             instance=peer.instance,
-            version=known.config_version,
-            revision=known.upstreams_revision,
-            jobs=known.jobs_revision,
+            version=revisions.config_version,
+            revision=revisions.upstreams_revision,
+            jobs=revisions.jobs_revision,
         )
 
     async def _call(self, peer: Peer, **call: object) -> ttypes.Envelope:
@@ -113,18 +120,20 @@
     async def _answer(self, envelope: ttypes.Envelope) -> ttypes.Envelope:
         answer = ttypes.Envelope(call=envelope.call)
         if envelope.copy_request is not None:
-            answer.copy = self._copies.give(envelope.copy_request)
+            answer.copy = self._copier.build_copy(envelope.copy_request)
         elif envelope.results_request is not None:
-            answer.results = await self._results(envelope.results_request)
+            answer.results = await self._build_results(envelope.results_request)
         return answer
 
-    async def _results(self, asked: ttypes.ResultsRequest) -> ttypes.Results:
-        entry = self._index.entries.get(asked.job)
-        if entry is None or not await self.make_sure(entry):
+    async def _build_results(
+        self, request: ttypes.ResultsRequest
+    ) -> ttypes.Results:
+        entry = self._index.entries.get(request.job)
+        if entry is None or not await self.confirm_results(entry):
             return ttypes.Results(
                 known=False, complete=False, rows=[], chunks=0
             )
-        rows = entry.results[asked.after :]
+        rows = entry.results[request.after :]
         return ttypes.Results(
             known=True,
             complete=entry.complete,
--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -1,4 +1,4 @@
-"""How one instance and the others know of each other."""
+"""Exchange of state between this instance and the others."""
 
 import random
 from collections import deque
@@ -10,22 +10,26 @@
 from gentiantrestle.gateway.batch.result_reader import ResultReader
 from gentiantrestle.gateway.batch.runner import Runner
 from gentiantrestle.gateway.gossip import Gossip
-from gentiantrestle.gateway.gossip_messages import Heard, Identity, Own
+from gentiantrestle.gateway.gossip_messages import (
+    Identity,
+    InstanceStatus,
+    JobNotices,
+)
 from gentiantrestle.gateway.loads import LoadBoard
-from gentiantrestle.gateway.peer_calls import Relay
+from gentiantrestle.gateway.peer_calls import PeerCalls
 from gentiantrestle.gateway.peers import PeerList
 from gentiantrestle.gateway.state_copier import StateCopier
 from gentiantrestle.gateway.zone_watcher import CopySourceSelector
 from gentiantrestle.supervisor import Child
 
-# Jobs ended here that the others are told of with each datagram.
-ENDED_TOLD = 8
+# Jobs ended here last that each datagram lists.
+MAX_ENDED_JOBS = 8
 
 
 class PeeringParts(NamedTuple):
-    """The parts that the others' news are for."""
+    """The parts that peering reads from and updates."""
 
-    copies: StateCopier
+    copier: StateCopier
     board: LoadBoard
     admission: Admission
     index: JobIndex
@@ -40,68 +44,78 @@
         self,
         identity: Identity,
         peers: PeerList,
-        work: PeeringParts,
-        connected: Callable[[], bool],
+        parts: PeeringParts,
+        is_connected: Callable[[], bool],
         now: Callable[[], float],
     ) -> None:
-        """Tell the others of ``work``; nothing is sent yet."""
+        """Connect ``parts`` to the other instances; nothing is sent yet.
+
+        ``is_connected`` tells whether this instance watches the store and
+        reaches it.
+        """
         self._identity = identity
-        self._work = work
-        self._connected = connected
+        self._parts = parts
+        self._is_connected = is_connected
         self._now = now
-        self._ended: deque[str] = deque(maxlen=ENDED_TOLD)
+        self._ended_jobs: deque[str] = deque(maxlen=MAX_ENDED_JOBS)
         self._leaving = False
-        # Done each time before it is decided whom to copy from.
+        # Called each time before the peer to copy from is chosen.
         self.before_sync: Callable[[], None] = _nothing
-        self._gossip = Gossip(identity, peers, work.board, self._own, now)
-        self._gossip.on_heard = self._hear
-        rule = CopySourceSelector(
+        self._gossip = Gossip(
+            identity, peers, parts.board, self._read_status, now
+        )
+        self._gossip.on_pulse = self._handle_pulse
+        selector = CopySourceSelector(
             identity.zone, random.Random(identity.incarnation).random
         )
-        self._relay = Relay(work.copies, peers, work.index, rule, identity.port)
-        self._relay.make_sure = work.reader.ensure_current
-        work.reader.fetch_from_peer = self._relay.results
+        self._peer_calls = PeerCalls(
+            parts.copier, peers, parts.index, selector, identity.port
+        )
+        self._peer_calls.confirm_results = parts.reader.ensure_current
+        parts.reader.fetch_from_peer = self._peer_calls.fetch_results
 
     def children(self) -> Iterator[Child]:
-        """Pass on what the supervisor runs."""
+        """Yield the tasks that the supervisor runs."""
         yield Child('gossip', self._gossip.run)
-        yield Child('peers', lambda: self._relay.serve(self._identity.host))
         yield Child(
-            'relay', lambda: self._relay.run(self._now, self.before_sync)
+            'peers', lambda: self._peer_calls.serve(self._identity.host)
+        )
+        yield Child(
+            'relay', lambda: self._peer_calls.run(self._now, self.before_sync)
         )
 
     def leave(self) -> None:
-        """Tell the others that this instance takes no work on any more."""
+        """Announce that this instance accepts no new work any more."""
         self._leaving = True
         self._gossip.announce()
 
     def announce_ended_job(self, job: str) -> None:
-        """Tell the others that a caller has ended a job."""
-        self._ended.append(job)
+        """Have the next datagrams say that a caller has ended a job."""
+        self._ended_jobs.append(job)
 
-    def _own(self) -> Own:
-        known = self._work.copies.known
-        return Own(
+    def _read_status(self) -> InstanceStatus:
+        revisions = self._parts.copier.revisions
+        return InstanceStatus(
             self._leaving,
-            known.config_version,
-            self._connected(),
-            self._work.admission.waiting,
-            tuple(self._ended),
-            tuple(self._work.runner.taken_over),
-            self._work.runner.waiting,
-            known.upstreams_revision,
-            known.jobs_revision,
-            known.upstreams_fingerprint,
+            revisions.config_version,
+            self._is_connected(),
+            self._parts.admission.waiting,
+            tuple(self._ended_jobs),
+            tuple(self._parts.runner.taken_over),
+            self._parts.runner.waiting,
+            revisions.upstreams_revision,
+            revisions.jobs_revision,
+            revisions.upstreams_fingerprint,
         )
 
-    def _hear(self, heard: Heard) -> None:
-        for run in heard.taken:
-            self._work.index.note_takeover(run)
-        for job in heard.ended:
-            self._work.index.end(job)
-        self._work.runner.run_table.preempt_overbooked()
-        self._work.admission.dispatch()
+    def _handle_pulse(self, notices: JobNotices) -> None:
+        for run in notices.taken_over_runs:
+            self._parts.index.note_takeover(run)
+        for job in notices.ended_jobs:
+            self._parts.index.end(job)
+        self._parts.runner.run_table.preempt_overbooked()
+        self._parts.admission.dispatch()
 
 
 def _nothing() -> None:
-    """Do nothing until something is set."""
+    """Do nothing until a handler is set."""
--- a/gentiantrestle/gateway/peers.py
+++ b/gentiantrestle/gateway/peers.py
@@ -1,34 +1,40 @@
-"""Which other instances live and what they know; no I/O.
+"""The other instances: which are alive and what they know; no I/O.
 
-Answers the load of instances that are killed, paused, cut off or replaced:
-silence is judged on this instance's steady clock, a restart by incarnation.
+Handles instances that are killed, paused, cut off or restarted: one that is
+silent for too long on this instance's monotonic clock counts as gone, and a
+restart shows by a new incarnation.
 """
 
 from collections.abc import Iterable
 from itertools import chain
 from typing import NamedTuple
 
-# An instance tells of itself at least every 0.4 s; datagrams may be lost.
-SILENCE_TIMEOUT = (
-    1.6  # seconds until an instance of the own zone counts as gone
-)
-# Datagrams an instance may send in a second to those of other zones.
-FAR_RATE = 160
-# In large fleets, where loads are added up for other zones, what it tells them
-# is not urgent.
-RARE_RATE = 45
-# Where news of other zones would be older than this, loads are added up.
-SUMMARY_GAP = 0.25  # seconds
+# An instance sends to its own zone at least every 0.4 s; datagrams may be lost.
+SILENCE_TIMEOUT = 1.6  # seconds until an instance of the own zone is gone
+# How many datagrams an instance may send to other zones.
+REMOTE_RATE = 160  # datagrams per second
+# In large fleets, where zones exchange load summaries, what an instance sends
+# to other zones by itself is not urgent.
+RARE_REMOTE_RATE = 45  # datagrams per second
+# Zones exchange load summaries where loads sent by each instance to the other
+# zones would be older than this.
+SUMMARY_THRESHOLD = 0.25  # seconds
 MIN_INTERVAL = 0.05  # seconds between two datagrams to the same instance
-SPEAKERS = 2  # of each zone that are told, in case the first is gone
-MISSED = 3.2  # datagrams from another zone that may be missed
-FORGET_AFTER = 60.0  # seconds until a silent host is not told any more
-# How long a silent instance may still do work that is not known here.
-SETTLE_TIME = 60.0  # seconds
+# Summaries go to two instances of each zone, in case one is gone.
+AGGREGATORS_PER_ZONE = 2
+# Send intervals without a datagram until an instance of another zone is gone.
+MISSED_INTERVALS = 3.2
+# Seeds are sent to however long they are silent.
+FORGET_AFTER = 60.0  # seconds until nothing is sent to a silent host any more
+# For this long a lost instance may still do work that is not known here.
+RECENT_LOSS_TIME = 60.0  # seconds
 
 
 class Peer(NamedTuple):
-    """What one instance said of itself last, and when it was heard."""
+    """What another instance last sent about itself.
+
+    ``last_heard`` is when that arrived, on this instance's clock, in s.
+    """
 
     instance: str
     incarnation: int
@@ -45,29 +51,29 @@
 
     @property
     def run(self) -> str:
-        """Name this run of the instance: another one after a restart."""
+        """Name of this run of the instance; a restart has another one."""
         return run_name(self.instance, self.incarnation)
 
     def is_alive(self, now: float, silence: float = SILENCE_TIMEOUT) -> bool:
-        """Tell whether the instance was heard of in the last ``silence`` s."""
+        """Return whether a datagram arrived in the last ``silence`` s."""
         return now - self.last_heard < silence
 
 
 def remote_interval(hosts: int) -> float:
-    """Return how often ``hosts`` instances of other zones are told, in s."""
-    gap = hosts / FAR_RATE
-    if gap > SUMMARY_GAP:
-        gap = hosts / RARE_RATE
-    return max(MIN_INTERVAL, gap)
+    """Return the time between datagrams to ``hosts`` in other zones, in s."""
+    interval = hosts / REMOTE_RATE
+    if interval > SUMMARY_THRESHOLD:
+        interval = hosts / RARE_REMOTE_RATE
+    return max(MIN_INTERVAL, interval)
 
 
 def remote_silence_timeout(hosts: int) -> float:
-    """Return when one of ``hosts`` in other zones counts as gone, in s."""
-    return max(SILENCE_TIMEOUT, MISSED * remote_interval(hosts))
+    """Return the silence timeout for ``hosts`` in other zones, in s."""
+    return max(SILENCE_TIMEOUT, MISSED_INTERVALS * remote_interval(hosts))
 
 
 class PeerList:
-    """The other instances by name, and the hosts to tell."""
+    """The other instances by name, and the hosts to send datagrams to."""
 
     def __init__(
         self,
@@ -76,7 +82,7 @@
         zone: str,
         seeds: Iterable[str],
     ) -> None:
-        """Know the seeds' hosts only."""
+        """Start with the hosts in ``seeds`` and no known instances."""
         self._instance = instance
         self._zone = zone
         self._own_host = host
@@ -85,95 +91,115 @@
         self._hosts: dict[str, float] = {}
         self._lost: dict[str, float] = {}
 
-    def update(self, told: Peer) -> bool:
-        """Take in what an instance says; tell whether it is a newcomer."""
-        if told.instance == self._instance:
+    def update(self, peer: Peer) -> bool:
+        """Note what an instance sent; return whether this run of it is new.
+
+        Datagrams that are repeated or arrive out of order are ignored.
+        """
+        if peer.instance == self._instance:
             return False
-        known = self._by_name.get(told.instance)
-        if known is not None and told[1:3] <= known[1:3]:
+        known = self._by_name.get(peer.instance)
+        if known is not None and peer[1:3] <= known[1:3]:
             return False
-        self._by_name[told.instance] = told
-        self._hosts[told.host] = told.last_heard
-        self._lost.pop(told.instance, None)
-        return known is None or known.incarnation != told.incarnation
+        self._by_name[peer.instance] = peer
+        self._hosts[peer.host] = peer.last_heard
+        self._lost.pop(peer.instance, None)
+        return known is None or known.incarnation != peer.incarnation
 
-    def learn_hosts(self, hosts: Iterable[str], now: float) -> None:
-        """Take in hosts that another instance knows."""
+    def add_hosts(self, hosts: Iterable[str], now: float) -> None:
+        """Add hosts that another instance knows."""
         for host in hosts:
             if host != self._own_host:
                 self._hosts.setdefault(host, now)
 
     def hosts(self, now: float) -> list[str]:
-        """List the hosts to tell: those heard of lately, and the seeds."""
-        for host, heard in tuple(self._hosts.items()):
-            if now - heard > FORGET_AFTER:
+        """List the hosts to send to: the seeds and those that aren't silent."""
+        for host, last_heard in tuple(self._hosts.items()):
+            if now - last_heard > FORGET_AFTER:
                 self._hosts.pop(host)
         return sorted(self._seeds | set(self._hosts))
 
     def split_hosts(self, now: float) -> tuple[list[str], list[str]]:
-        """List the hosts in the own zone, and all others."""
-        near = {one.host for one in self.near()}
+        """List the hosts to send to: those of the own zone, and the others.
+
+        A host whose instance is not known counts as one of another zone.
+        """
+        local = {peer.host for peer in self.local_peers()}
         hosts = self.hosts(now)
         return (
-            [host for host in hosts if host in near],
-            [host for host in hosts if host not in near],
+            [host for host in hosts if host in local],
+            [host for host in hosts if host not in local],
         )
 
     def remove_silent(self, now: float) -> list[Peer]:
-        """Drop and return the instances that have fallen silent."""
+        """Remove and return the instances that are gone."""
         alive = self.alive(now)
-        silent = [one for one in self._by_name.values() if one not in alive]
-        for one in silent:
-            self._by_name.pop(one.instance)
-            if not one.leaving:
-                self._lost[one.instance] = now
+        silent = [peer for peer in self._by_name.values() if peer not in alive]
+        for peer in silent:
+            self._by_name.pop(peer.instance)
+            if not peer.leaving:
+                self._lost[peer.instance] = now
         return silent
 
     def no_recent_losses(self, now: float) -> bool:
-        """Tell whether every instance that was lost lately is back."""
-        return all(now - at > SETTLE_TIME for at in self._lost.values())
+        """Return whether every instance lost recently is back.
+
+        An instance that announced that it leaves is not lost.
+        """
+        return all(
+            now - lost_at > RECENT_LOSS_TIME for lost_at in self._lost.values()
+        )
 
     def working_runs(self, now: float) -> tuple[str, ...]:
-        """Name the runs of living instances that take work on."""
-        return tuple(one.run for one in self.alive(now) if not one.leaving)
+        """Name the runs of live instances that accept new work."""
+        return tuple(peer.run for peer in self.alive(now) if not peer.leaving)
 
     def find_run(self, run: str) -> Peer | None:
-        """Return a living instance by the name of its run."""
+        """Return the instance of a run, or None if it is not known."""
         return next(
-            (one for one in self._by_name.values() if one.run == run), None
+            (peer for peer in self._by_name.values() if peer.run == run), None
         )
 
     def alive(self, now: float) -> list[Peer]:
-        """List the instances that were heard of lately."""
-        silence = remote_silence_timeout(len(self._by_name) - len(self.near()))
+        """List the instances that are alive."""
+        silence = remote_silence_timeout(
+            len(self._by_name) - len(self.local_peers())
+        )
         return [
-            one
-            for one in self._by_name.values()
-            if one.is_alive(now, silence)
-            and (one.zone != self._zone or one.is_alive(now))
+            peer
+            for peer in self._by_name.values()
+            if peer.is_alive(now, silence)
+            and (peer.zone != self._zone or peer.is_alive(now))
         ]
 
-    def near(self) -> list[Peer]:
+    def local_peers(self) -> list[Peer]:
         """List the instances of the own zone."""
-        return [one for one in self._by_name.values() if one.zone == self._zone]
+        return [
+            peer for peer in self._by_name.values() if peer.zone == self._zone
+        ]
 
     def is_aggregator(self, now: float) -> bool:
-        """Tell whether this instance adds its zone's loads up for others.
+        """Return whether this instance sends its zone's load summaries.
 
-        The first by name does; whether it hears the store is no matter.
+        The first instance of a zone by name does. Silent and leaving peers
+        don't count; whether it reaches the store doesn't matter.
         """
-        alive = [one for one in self.near() if one.is_alive(now)]
+        alive = [peer for peer in self.local_peers() if peer.is_alive(now)]
         return all(
-            one.leaving or one.instance > self._instance for one in alive
+            peer.leaving or peer.instance > self._instance for peer in alive
         )
 
     def remote_aggregators(self, now: float) -> list[Peer]:
-        """List the first instances of each other zone, by name."""
+        """List the aggregators of the other zones and the next in line."""
         zones: dict[str, list[Peer]] = {}
-        for peer in sorted(self.alive(now), key=lambda one: one.instance):
+        for peer in sorted(
+            self.alive(now), key=lambda candidate: candidate.instance
+        ):
             if peer.zone != self._zone and not peer.leaving:
                 zones.setdefault(peer.zone, []).append(peer)
-        return list(chain(*(found[:SPEAKERS] for found in zones.values())))
+        return list(
+            chain(*(found[:AGGREGATORS_PER_ZONE] for found in zones.values()))
+        )
 
 
 def run_name(instance: str, incarnation: int) -> str:
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -5,20 +5,20 @@
 from typing import Any
 
 from gentiantrestle import events
-from gentiantrestle.gateway.follower import LIST_ANEW, StoreHandlers
+from gentiantrestle.gateway.follower import NO_REVISION, StoreHandlers
 from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
 )
 
-# Others answer for an instance that does not do so itself within this time.
-OWN_TIME = 1.5  # seconds
+# Until then only the instance itself answers, afterwards all others as well.
+OWN_ANSWER_WAIT = 1.5  # seconds
 RETRY_PAUSE = 0.5  # seconds
 
 
 class RetirementResponder:
-    """Marks what is to be emptied as empty."""
+    """Marks instances that are to be emptied as empty."""
 
     def __init__(
         self,
@@ -35,10 +35,14 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def handlers(self) -> StoreHandlers:
-        """Return what a follower of the requests does."""
-        return StoreHandlers(self._take, self._take, _nothing, _list_all)
+        """Return the handlers for a follower of the requests."""
+        return StoreHandlers(
+            self._start_answers, self._start_answers, _nothing, _no_revision
+        )
 
-    def _take(self, found: Iterable[StoredObject], revision: int) -> None:
+    def _start_answers(
+        self, found: Iterable[StoredObject], revision: int
+    ) -> None:
         for stored in found:
             name = stored.name
             if stored.deleted or stored.status == self._completed:
@@ -48,12 +52,13 @@
 
     async def _answer(self, name: str) -> None:
         if name != self._instance:
-            await asyncio.sleep(OWN_TIME)
+            await asyncio.sleep(OWN_ANSWER_WAIT)
         while not await self._try_answer(name):
             await asyncio.sleep(RETRY_PAUSE)
         self._tasks.pop(name, None)
 
     async def _try_answer(self, name: str) -> bool:
+        """Return whether the request needs no further attempt."""
         try:
             stored = await self._store.get(self._kind, name)
             if stored is None or stored.status == self._completed:
@@ -69,9 +74,9 @@
         return done
 
 
-def _list_all() -> int:
-    return LIST_ANEW
+def _no_revision() -> int:
+    return NO_REVISION
 
 
 def _nothing() -> None:
-    """Requests wait while the store is away."""
+    """Leave the requests as they are while the store is unreachable."""
--- a/gentiantrestle/gateway/retrying_store.py
+++ b/gentiantrestle/gateway/retrying_store.py
@@ -1,8 +1,8 @@
-"""Settles writes to the store whose answers are lost.
+"""Repeats writes to the store whose answers are lost.
 
-Answers the load of a store that does some writes without answering them, or
-does them seconds later: each write is conditional, so the same write sent
-again either takes effect or meets the one before it.
+The store may carry out a write without answering it, or seconds later. Each
+write is conditional, so the same write sent again either takes effect or finds
+that the first one did.
 """
 
 import asyncio
@@ -17,24 +17,30 @@
 )
 
 # The store answers in 4 ms, and in about 0.2 s when it is slow.
-FIRST_TRY = 0.3  # seconds
-GROWTH = 1.5  # of each try over the one before it
-# Callers who hand a job in wait 4 s in all and come back once.
-SETTLE_TIME = 2.0  # seconds
-
-
-def tries(started: float, now: Callable[[], float]) -> Iterator[float]:
-    """Yield how long each try may take, until the time to settle is over."""
-    longest = FIRST_TRY
-    left = SETTLE_TIME
+FIRST_TIMEOUT = 0.3  # seconds
+TIMEOUT_GROWTH = 1.5  # factor from one attempt to the next
+# Callers who submit a job wait 4 s in all and try again once.
+RETRY_BUDGET = 2.0  # seconds
+
+
+def attempt_timeouts(
+    started_at: float, now: Callable[[], float]
+) -> Iterator[float]:
+    """Yield the timeout of each attempt until ``RETRY_BUDGET`` is used up."""
+    timeout = FIRST_TIMEOUT
+    left = RETRY_BUDGET
     while left > 0:
-        yield min(longest, left)
-        longest *= GROWTH
-        left = started + SETTLE_TIME - now()
+        yield min(timeout, left)
+        timeout *= TIMEOUT_GROWTH
+        left = started_at + RETRY_BUDGET - now()
 
 
 class RetryingStore:
-    """An object store whose writes are tried again until they are settled."""
+    """An object store that repeats writes whose outcome is unknown.
+
+    Raises ``StoreUnavailableError`` if the first attempt was not carried out,
+    and ``StoreUnsureError`` if a write may still take effect.
+    """
 
     def __init__(self, store: ObjectStore, now: Callable[[], float]) -> None:
         """Call ``store``; reads are passed on as they are."""
@@ -57,7 +63,7 @@
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
         """Create an object; False where one exists, perhaps by this call."""
-        return await self._settle(
+        return await self._write(
             name, lambda: self._store.create(kind, name, content)
         )
 
@@ -68,24 +74,24 @@
 
         That may be this call's own change, if its first answer was lost.
         """
-        return await self._settle(
+        return await self._write(
             found.name, lambda: self._store.put_status(kind, found, status)
         )
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete an object; deleting twice is the same as once."""
-        await self._settle(name, lambda: self._store.delete(kind, name))
+        await self._write(name, lambda: self._store.delete(kind, name))
 
-    async def _settle(self, name: str, write: Callable[[], Awaitable]) -> Any:
+    async def _write(self, name: str, attempt: Callable[[], Awaitable]) -> Any:
         unsure: StoreUnsureError | None = None
-        for longest in tries(self._now(), self._now):
+        for timeout in attempt_timeouts(self._now(), self._now):
             try:
-                async with asyncio.timeout(longest):
-                    return await write()
+                async with asyncio.timeout(timeout):
+                    return await attempt()
             except StoreUnavailableError as exc:
                 if unsure is None:
                     raise
-                await asyncio.sleep(longest)
+                await asyncio.sleep(timeout)
                 events.emit(events.WRITE_FAILED, name=name, error=repr(exc))
             except (StoreUnsureError, TimeoutError) as exc:
                 unsure = StoreUnsureError(repr(exc))
--- a/gentiantrestle/gateway/roster.py
+++ b/gentiantrestle/gateway/roster.py
@@ -1,7 +1,8 @@
-"""Which upstreams may be used, from late and lapsing entries; no I/O.
+"""The upstreams that may be used, in spite of lapsed entries; no I/O.
 
-Answers the load of mass lapses: while the store was away, entries vanish
-though their upstreams live, and come back within seconds of its return.
+While the store is unreachable, many entries can lapse although their upstreams
+are alive; they return within seconds after the store does. So an upstream whose
+entry vanishes during an outage stays in use a little longer.
 """
 
 from collections.abc import Iterable
@@ -9,76 +10,79 @@
 
 from gentiantrestle.gateway.model import Upstream
 
-# Entries that lapsed while the store was away return within about this time.
+# Entries that lapsed during an outage of the store return within about this.
 LAPSE_GRACE = 2.0  # seconds
 
 
-class Missing(NamedTuple):
-    """An upstream whose entry is gone, used on until ``until``."""
+class LapsedEntry(NamedTuple):
+    """An upstream whose entry is gone, still in use until ``until``."""
 
     upstream: Upstream
     until: float
 
 
 class Roster:
-    """The upstreams by id, with departures told from lapses."""
+    """The upstreams by id; tells upstreams that left from lapsed entries."""
 
     def __init__(self) -> None:
         """Start empty; nothing is known of the store yet."""
-        self._known: dict[str, Upstream] = {}
-        self._missing: dict[str, Missing] = {}
-        # Entries that vanish before this time have lapsed, not left.
-        self.away_until = float(0)
+        self._listed: dict[str, Upstream] = {}
+        self._lapsed: dict[str, LapsedEntry] = {}
+        # An entry that vanishes before this time counts as lapsed.
+        self.lapse_until = float(0)
         self.revision = 0
 
     def note_outage(self, now: float) -> None:
-        """Note that the store is away; departures seen soon are lapses."""
-        self.note_lapse(now + LAPSE_GRACE)
+        """Note that the store is unreachable; entries may lapse."""
+        self.expect_lapses_until(now + LAPSE_GRACE)
 
-    def note_lapse(self, until: float) -> None:
-        """Take entries that vanish before ``until`` for lapsed."""
-        self.away_until = max(self.away_until, until)
+    def expect_lapses_until(self, until: float) -> None:
+        """Treat entries that vanish before ``until`` as lapsed."""
+        self.lapse_until = max(self.lapse_until, until)
 
     def replace(self, found: Iterable[Upstream], now: float) -> None:
-        """Take in a whole list; what it lacks has left or lapsed."""
+        """Set the whole list; upstreams it lacks are removed."""
         listed = {upstream.id: upstream for upstream in found}
-        for gone in set(self._known) - set(listed):
-            self.remove(gone, now)
+        for missing_id in set(self._listed) - set(listed):
+            self.remove(missing_id, now)
         for upstream in listed.values():
             self.put(upstream)
 
     def put(self, upstream: Upstream) -> None:
-        """Take in one entry."""
-        self._known[upstream.id] = upstream
-        self._missing.pop(upstream.id, None)
+        """Add or replace one upstream."""
+        self._listed[upstream.id] = upstream
+        self._lapsed.pop(upstream.id, None)
 
     def remove(self, upstream_id: str, now: float) -> None:
-        """Take an entry out; during an outage it is used a little longer."""
-        upstream = self._known.pop(upstream_id, None)
+        """Remove an upstream; one whose entry lapsed stays in use a while.
+
+        A draining one is always removed at once.
+        """
+        upstream = self._listed.pop(upstream_id, None)
         if upstream is None or upstream.draining:
             return
-        if now < self.away_until:
-            self._missing[upstream_id] = Missing(upstream, self.away_until)
+        if now < self.lapse_until:
+            self._lapsed[upstream_id] = LapsedEntry(upstream, self.lapse_until)
 
     def usable_upstreams(self, service: str, now: float) -> list[Upstream]:
         """List the upstreams of a service that may get new work."""
         self._expire(now)
         found = [
             upstream
-            for upstream in self._known.values()
+            for upstream in self._listed.values()
             if upstream.service == service and not upstream.draining
         ]
         return found + [
-            one.upstream
-            for one in self._missing.values()
-            if one.upstream.service == service
+            lapsed.upstream
+            for lapsed in self._lapsed.values()
+            if lapsed.upstream.service == service
         ]
 
     def entries(self) -> tuple[Upstream, ...]:
-        """Return every entry that stands in the store."""
-        return tuple(self._known.values())
+        """Return the upstreams whose entries are in the store."""
+        return tuple(self._listed.values())
 
     def _expire(self, now: float) -> None:
-        for upstream_id, missing in tuple(self._missing.items()):
-            if now >= missing.until:
-                self._missing.pop(upstream_id)
+        for upstream_id, lapsed in tuple(self._lapsed.items()):
+            if now >= lapsed.until:
+                self._lapsed.pop(upstream_id)
--- a/gentiantrestle/gateway/state_copier.py
+++ b/gentiantrestle/gateway/state_copier.py
@@ -1,4 +1,7 @@
-"""What one instance copies from another instead of asking the store; no I/O."""
+"""Copies configuration, upstreams and jobs between instances; no I/O.
+
+Instances that don't watch the store themselves get them this way.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -14,7 +17,7 @@
 
 
 class StateCopier:
-    """Gives others what they lack, and takes in what they give."""
+    """Builds copies for other instances, and applies theirs."""
 
     def __init__(
         self,
@@ -28,51 +31,53 @@
         self._now = now
 
     @property
-    def known(self) -> Revisions:
-        """How new the knowledge here is."""
+    def revisions(self) -> Revisions:
+        """What this instance knows."""
         return Revisions(
             self._state.config_version,
-            self._state.revision,
+            self._state.upstreams_revision,
             self._job_store.index.revision,
             self._state.upstreams_fingerprint,
         )
 
-    def request(self) -> ttypes.CopyRequest:
-        """Ask for all that is newer."""
-        known = self.known
+    def build_request(self) -> ttypes.CopyRequest:
+        """Return a request for all that is newer than what is known here."""
+        revisions = self.revisions
         return ttypes.CopyRequest(
-            known.config_version, known.upstreams_revision, known.jobs_revision
+            revisions.config_version,
+            revisions.upstreams_revision,
+            revisions.jobs_revision,
         )
 
-    def give(self, asked: ttypes.CopyRequest) -> ttypes.Copy:
-        """Collect what is newer than ``asked``."""
+    def build_copy(self, request: ttypes.CopyRequest) -> ttypes.Copy:
+        """Return what is newer here than the revisions in a request."""
         copy = ttypes.Copy(
-            upstreams_revision=self._state.revision,
+            upstreams_revision=self._state.upstreams_revision,
             jobs_revision=self._job_store.index.revision,
-            jobs=list(map(_pack, self._newer_jobs(asked.jobs_revision))),
+            jobs=list(map(_pack, self._newer_jobs(request.jobs_revision))),
             lapse_left=int(self._state.lapse_left * MS_PER_S),
         )
         if (
             self._state.config
-            and self._state.config_version > asked.config_version
+            and self._state.config_version > request.config_version
         ):
             copy.config = _pack(self._state.config)
-        if self._state.revision > asked.upstreams_revision:
+        if self._state.upstreams_revision > request.upstreams_revision:
             copy.upstreams = list(map(_pack, self._state.upstreams.values()))
         return copy
 
-    def take(self, told: ttypes.Copy) -> None:
-        """Take in what another instance gave; nothing older replaces newer."""
-        if told.config is not None:
-            self._state.apply_config(_unpack(told.config))
-        newer = told.upstreams_revision > self._state.revision
-        if told.upstreams is not None and newer:
-            self._state.note_lapse(told.lapse_left / MS_PER_S)
+    def apply_copy(self, copy: ttypes.Copy) -> None:
+        """Apply what another instance sent, where it is newer."""
+        if copy.config is not None:
+            self._state.apply_config(_unpack(copy.config))
+        newer = copy.upstreams_revision > self._state.upstreams_revision
+        if copy.upstreams is not None and newer:
+            self._state.expect_lapses(copy.lapse_left / MS_PER_S)
             self._state.replace_upstreams(
-                map(_unpack, told.upstreams), told.upstreams_revision
+                map(_unpack, copy.upstreams), copy.upstreams_revision
             )
-        jobs = [_unpack(one) for one in told.jobs]
-        self._job_store.apply_changes(jobs, told.jobs_revision)
+        jobs = [_unpack(job) for job in copy.jobs]
+        self._job_store.apply_changes(jobs, copy.jobs_revision)
 
     def _newer_jobs(self, revision: int) -> Iterable[StoredObject]:
         for entry in self._job_store.index.entries.values():
@@ -85,6 +90,8 @@
     return ttypes.KnownObject(stored.name, stored.revision, content)
 
 
-def _unpack(told: ttypes.KnownObject) -> StoredObject:
-    content, status = msgspec.json.decode(told.content)
-    return StoredObject(told.name, told.revision, content, status)
+def _unpack(known_object: ttypes.KnownObject) -> StoredObject:
+    content, status = msgspec.json.decode(known_object.content)
+    return StoredObject(
+        known_object.name, known_object.revision, content, status
+    )
--- a/gentiantrestle/gateway/zone_watcher.py
+++ b/gentiantrestle/gateway/zone_watcher.py
@@ -1,8 +1,8 @@
-"""Which instance watches the store for its zone, and who copies; no I/O.
+"""Which instance of a zone watches the store, and who copies; no I/O.
 
-Answers the load of many instances: each change of the store costs a call for
-every waiting watch, so one instance of an availability zone watches and the
-others copy from it. Whoever falls behind copies from any zone.
+Each change in the store costs one call for every waiting watch, so with many
+instances only one of each availability zone watches, and the others copy from
+it. An instance that falls behind copies from any zone.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,25 +10,29 @@
 
 from gentiantrestle.gateway.peers import Peer
 
-# An instance tells of itself at least every 0.4 s. Changes must be in force
-# 2.5 s after the store has them, the time to notice a dead watcher included.
+# An instance sends to its own zone at least every 0.4 s. Changes must be in
+# force 2.5 s after the store has them, including the time to notice a dead
+# watcher.
 WATCHER_SILENCE = 1.0  # seconds until a silent watcher is replaced
 # All instances start within 0.3 s of each other.
-START_WAIT = 0.6  # seconds in which a new instance hears of the others
-RANK_STEP = 0.4  # seconds by which the next in line waits longer
-# Where these first in line fail, the store is likely away for all; the others
+START_WAIT = 0.6  # seconds for a new instance to hear from the others
+RANK_STEP = 0.4  # seconds that each next candidate waits longer
+# If the first candidates fail, the store is likely down for all. The others
 # try as well, but later, since each try is a call that the store counts.
 QUICK_RANKS = 3
-LATE_STEP = 1.5  # seconds
-# How long the own zone's watcher may lag behind others: its pause between two
-# calls for the same kind, and the way of the news.
+LATE_STEP = 1.5  # seconds that each later candidate waits longer
+# How long the zone's own watcher may be behind other instances: its pause
+# between two calls for the same kind, plus the time that datagrams take.
 URGENT_LAG = 0.8  # seconds, for the configuration and the upstreams
 JOBS_LAG = 3.0  # seconds
 NEVER = float('inf')
 
 
 class Revisions(NamedTuple):
-    """How new this instance's knowledge is; revisions are the store's."""
+    """How new an instance's state is; revisions are the store's.
+
+    Equal fingerprints mean equal upstream entries.
+    """
 
     config_version: int
     upstreams_revision: int
@@ -37,14 +41,14 @@
 
 
 class WatcherElection:
-    """Whether this instance watches the store."""
+    """Decides whether this instance watches the store for its zone."""
 
-    def __init__(self, instance: str, zone: str, began: float) -> None:
-        """Watch nothing until others had time to be heard."""
+    def __init__(self, instance: str, zone: str, started_at: float) -> None:
+        """Don't watch until the others had time to be heard."""
         self._instance = instance
         self._zone = zone
-        self._vacant_since = began + START_WAIT
-        self.held = False
+        self._vacant_since = started_at + START_WAIT
+        self.is_watcher = False
 
     def decide(
         self,
@@ -53,62 +57,69 @@
         *,
         connected: bool,
     ) -> bool:
-        """Tell whether to watch; ``connected`` if the store is heard.
+        """Return whether to watch; ``connected`` if the store answers here.
 
-        Of two that hear the store the first by name goes on; where nobody
-        does, one after the other tries as well.
+        Of two watchers that reach the store the first by name goes on. Where
+        there is none, the instances start to watch one after the other, by
+        name.
         """
-        near = [
-            one
-            for one in peers
-            if one.zone == self._zone
-            and not one.leaving
-            and now - one.last_heard < WATCHER_SILENCE
+        candidates = [
+            peer
+            for peer in peers
+            if peer.zone == self._zone
+            and not peer.leaving
+            and now - peer.last_heard < WATCHER_SILENCE
         ]
-        rivals = [one for one in near if one.store_reached]
-        if self.held and connected:
-            rivals = [one for one in rivals if one.instance < self._instance]
-        if rivals:
+        watchers = [peer for peer in candidates if peer.store_reached]
+        if self.is_watcher and connected:
+            watchers = [
+                peer for peer in watchers if peer.instance < self._instance
+            ]
+        if watchers:
             self._vacant_since = now
-            self.held = False
-        elif not self.held:
-            rank = sum(one.instance < self._instance for one in near)
+            self.is_watcher = False
+        elif not self.is_watcher:
+            rank = sum(peer.instance < self._instance for peer in candidates)
             step = RANK_STEP if rank < QUICK_RANKS else LATE_STEP
-            self.held = now - self._vacant_since >= step * rank
-        return self.held
+            self.is_watcher = now - self._vacant_since >= step * rank
+        return self.is_watcher
 
 
-class Goal:
-    """A revision that others have, and since when it has been missed."""
+class LagTracker:
+    """Measures for how long a revision that others have is missing here."""
 
     def __init__(self) -> None:
-        """Miss nothing."""
-        self._revision = 0
-        self._since = NEVER
+        """Start with no lag."""
+        self._target = 0
+        self._behind_since = NEVER
 
-    def lag(self, own: int, ahead: int, now: float) -> float:
-        """Return for how long what others had has been missed here, in s.
+    def lag(self, own: int, newest: int, now: float) -> float:
+        """Return for how long this instance has been behind, in s.
 
-        Others may get ahead again and again; that is no lag as long as this
-        instance reaches in time what they had when it fell behind.
+        It is negative infinity while nothing is missing. Others may get ahead
+        again and again: only the revision that they had when this instance
+        fell behind has to be reached.
         """
-        if ahead <= own:
-            self._since = NEVER
-        elif self._since == NEVER or own >= self._revision:
-            self._revision = ahead
-            self._since = now
-        return now - self._since
+        if newest <= own:
+            self._behind_since = NEVER
+        elif self._behind_since == NEVER or own >= self._target:
+            self._target = newest
+            self._behind_since = now
+        return now - self._behind_since
 
 
 class CopySourceSelector:
-    """From whom this instance copies what is newer than its own."""
+    """Chooses the instance from which newer state is copied."""
 
     def __init__(self, zone: str, chance: Callable[[], float]) -> None:
-        """Prefer the zone's own watcher; ``chance`` is from 0 to 1."""
+        """Prefer the watcher of ``zone``.
+
+        ``chance`` returns random numbers from 0 up to but not including 1.
+        """
         self._zone = zone
         self._chance = chance
         self._behind_since = NEVER
-        self._jobs = Goal()
+        self._jobs_lag = LagTracker()
 
     def choose(
         self,
@@ -116,27 +127,34 @@
         peers: Iterable[Peer],
         now: float,
     ) -> Peer | None:
-        """Return whom to copy from now, if anybody is ahead."""
+        """Return the instance to copy from now, or None.
+
+        That is the zone's watcher if it is ahead of ``known``, or a random
+        instance that is ahead if this one has been behind for too long.
+        """
         every = list(peers)
-        urgent = [one for one in every if _is_ahead(one, known)]
-        jobs = [one for one in every if one.jobs_revision > known.jobs_revision]
+        urgent = [peer for peer in every if _is_ahead(peer, known)]
+        jobs = [
+            peer for peer in every if peer.jobs_revision > known.jobs_revision
+        ]
         self._behind_since = min(self._behind_since, now) if urgent else NEVER
         if now - self._behind_since >= URGENT_LAG:
-            return self._any(urgent)
-        newest = max((one.jobs_revision for one in jobs), default=0)
-        if self._jobs.lag(known.jobs_revision, newest, now) >= JOBS_LAG:
-            return self._any(jobs)
-        near = [one for one in urgent + jobs if self._is_watcher(one)]
-        return min(near, key=lambda one: one.instance, default=None)
+            return self._pick(urgent)
+        newest = max((peer.jobs_revision for peer in jobs), default=0)
+        if self._jobs_lag.lag(known.jobs_revision, newest, now) >= JOBS_LAG:
+            return self._pick(jobs)
+        watchers = [peer for peer in urgent + jobs if self._is_watcher(peer)]
+        return min(watchers, key=lambda peer: peer.instance, default=None)
 
     def _is_watcher(self, peer: Peer) -> bool:
         return peer.zone == self._zone and peer.store_reached
 
-    def _any(self, found: list[Peer]) -> Peer:
-        return found[int(self._chance() * len(found))]
+    def _pick(self, candidates: list[Peer]) -> Peer:
+        return candidates[int(self._chance() * len(candidates))]
 
 
 def _is_ahead(peer: Peer, known: Revisions) -> bool:
+    """Return whether a peer has a newer configuration or other upstreams."""
     if peer.config_version > known.config_version:
         return True
     newer = peer.upstreams_revision > known.upstreams_revision
--- a/tests/gateway/memory.py
+++ b/tests/gateway/memory.py
@@ -1,4 +1,4 @@
-"""A store in memory with the platform's promises and its faults."""
+"""An object store in memory that can fail like the platform's."""
 
 import asyncio
 from typing import Any
@@ -14,7 +14,7 @@
     """Objects by kind and name under one revision counter."""
 
     def __init__(self) -> None:
-        """Start empty and sound."""
+        """Start empty and without faults."""
         self.revision = 1
         self.kinds: dict[str, dict[str, StoredObject]] = {}
         self.down = False
@@ -48,7 +48,7 @@
         return self.kinds.get(kind, {}).get(name)
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
-        """Create an object once."""
+        """Create an object; return False if it exists."""
         self._begin('create')
         if name in self.kinds.setdefault(kind, {}):
             return False
@@ -59,7 +59,7 @@
     async def put_status(
         self, kind: str, found: StoredObject, status: Any
     ) -> bool:
-        """Replace a status under the object's revision."""
+        """Replace a status; return False if the revision has changed."""
         self._begin('status')
         known = self.kinds.get(kind, {}).get(found.name)
         if known is None or known.revision != found.revision:
@@ -78,14 +78,14 @@
             self._changes.append((kind, gone))
 
     def write(self, kind: str, stored: StoredObject) -> None:
-        """Put an object under the next revision."""
+        """Put an object, with the next revision."""
         self.revision += 1
         stored = stored._replace(revision=self.revision)
         self.kinds.setdefault(kind, {})[stored.name] = stored
         self._changes.append((kind, stored))
 
     def compact(self) -> None:
-        """Drop the history."""
+        """Drop the history of changes."""
         self.compacted = self.revision + 1
         self._changes.clear()
 
--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -1,4 +1,4 @@
-"""When the store is asked, by those on duty and by those who start."""
+"""When a follower asks the store: with a closed gate, and at the start."""
 
 import asyncio
 import random
@@ -19,24 +19,29 @@
 
 
 class _Copy:
-    """What a follower has heard."""
+    """What a follower has read."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
         self.revision = 0
 
-    def sink(self) -> StoreHandlers:
+    def handlers(self) -> StoreHandlers:
         return StoreHandlers(
-            self._take, self._take, lambda: None, lambda: self.revision
+            self._add, self._add, lambda: None, lambda: self.revision
         )
 
-    def _take(self, found: Iterable[StoredObject], revision: int) -> None:
-        self.names |= {one.name for one in found}
+    def _add(self, found: Iterable[StoredObject], revision: int) -> None:
+        self.names |= {stored.name for stored in found}
         self.revision = revision
 
 
-def _follow(*, at_start: bool, down: float = 0) -> tuple[list[str], set[str]]:
-    """Follow for a minute without duty; return the calls and what is known."""
+def _follow(
+    *, read_at_start: bool, down: float = 0
+) -> tuple[list[str], set[str]]:
+    """Follow for a minute with a closed gate; the store is down at first.
+
+    Returns the calls to the store and the names that were read.
+    """
 
     async def run() -> tuple[list[str], set[str]]:
         store = MemoryStore()
@@ -45,8 +50,8 @@
         copy = _Copy()
         follower = Follower(
             store,
-            WatchSpec(KIND, 0, read_at_start=at_start),
-            copy.sink(),
+            WatchSpec(KIND, 0, read_at_start=read_at_start),
+            copy.handlers(),
             random.Random(1),
             WatchGate(),
         )
@@ -60,15 +65,15 @@
     return play(run())
 
 
-def test_who_starts_reads_once_before_others_are_heard() -> None:
-    assert _follow(at_start=True) == (['list'], {'one'})
+def test_read_at_start_lists_once_with_gate_closed() -> None:
+    assert _follow(read_at_start=True) == (['list'], {'one'})
 
 
-def test_who_starts_without_store_reads_when_it_is_back() -> None:
-    calls, names = _follow(at_start=True, down=5)
+def test_read_at_start_retries_until_store_is_back() -> None:
+    calls, names = _follow(read_at_start=True, down=5)
     assert names == {'one'}
     assert 5 < len(calls) < 20
 
 
-def test_what_nobody_waits_for_is_left_to_the_watcher() -> None:
-    assert _follow(at_start=False) == ([], set())
+def test_store_is_not_called_with_gate_closed() -> None:
+    assert _follow(read_at_start=False) == ([], set())
--- a/tests/gateway/test_retirement.py
+++ b/tests/gateway/test_retirement.py
@@ -1,9 +1,12 @@
-"""A storage instance that is to be emptied is answered for, once."""
+"""Requests to empty a storage instance are answered."""
 
 import asyncio
 
 from gentiantrestle.gateway.ports import StoredObject
-from gentiantrestle.gateway.retirement import OWN_TIME, RetirementResponder
+from gentiantrestle.gateway.retirement import (
+    OWN_ANSWER_WAIT,
+    RetirementResponder,
+)
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play
 
@@ -12,14 +15,14 @@
 
 
 def _play(instance: str, *, down: float = 0) -> dict[float, object]:
-    """Return the status at some times of a request to empty ``s1``."""
+    """Return the status of a request to empty ``s1``, by time in s."""
 
     async def run() -> dict[float, object]:
         store = MemoryStore()
         store.write(KIND, StoredObject('s1', 0, {}))
         store.down = bool(down)
-        sink = RetirementResponder(store, KIND, instance, DONE).handlers()
-        sink.replace(store.kinds[KIND].values(), 1)
+        handlers = RetirementResponder(store, KIND, instance, DONE).handlers()
+        handlers.replace(store.kinds[KIND].values(), 1)
         seen: dict[float, object] = {}
         for at in (1.0, 4.0):
             await asyncio.sleep(at - asyncio.get_running_loop().time())
@@ -30,14 +33,14 @@
     return play(run())
 
 
-def test_it_answers_for_itself_at_once() -> None:
+def test_instance_answers_its_own_request_at_once() -> None:
     assert _play('s1')[1.0] == DONE
 
 
-def test_others_answer_where_it_does_not() -> None:
-    assert OWN_TIME > 1
+def test_other_instance_answers_after_waiting() -> None:
+    assert OWN_ANSWER_WAIT > 1
     assert _play('s2') == {1.0: None, 4.0: DONE}
 
 
-def test_an_outage_delays_the_answer_only() -> None:
+def test_request_is_answered_after_store_outage() -> None:
     assert _play('s1', down=1) == {1.0: None, 4.0: DONE}
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -1,4 +1,4 @@
-"""Writes whose answers are lost are settled while the caller waits."""
+"""Writes whose answers are lost are repeated while the caller waits."""
 
 import asyncio
 from typing import Any
@@ -6,7 +6,7 @@
 import pytest
 
 from gentiantrestle.gateway.ports import StoredObject
-from gentiantrestle.gateway.retrying_store import SETTLE_TIME, RetryingStore
+from gentiantrestle.gateway.retrying_store import RETRY_BUDGET, RetryingStore
 from gentiantrestle.store.client import (
     StoreUnavailableError,
     StoreUnsureError,
@@ -15,20 +15,23 @@
 from tests.utils.virtual import play, virtual_now
 
 KIND = 'kind'
-LATE = 2.0  # seconds until a write that was not answered takes effect
+EFFECT_DELAY = 2.0  # seconds until an unanswered write takes effect
 
 
 class LossyStore(MemoryStore):
-    """Answers some creates never; they take effect now, later or not."""
+    """Never answers the first creates.
+
+    They take effect 'now', 'late' or 'never', as ``effect`` says.
+    """
 
     def __init__(self, silent: int, effect: str) -> None:
-        """Leave the first ``silent`` creates without an answer."""
+        """Don't answer the first ``silent`` creates."""
         super().__init__()
         self._silent = silent
         self._effect = effect
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
-        """Create an object, or fall silent."""
+        """Create an object, or never answer."""
         if not self._silent:
             return await super().create(kind, name, content)
         self._silent -= 1
@@ -37,7 +40,10 @@
             self.write(kind, StoredObject(name, 0, content))
         if self._effect == 'late':
             asyncio.get_running_loop().call_later(
-                LATE, self._write_late, kind, StoredObject(name, 0, content)
+                EFFECT_DELAY,
+                self._write_late,
+                kind,
+                StoredObject(name, 0, content),
             )
         await asyncio.Event().wait()
         return False
@@ -47,11 +53,11 @@
             self.write(kind, stored)
 
 
-class DyingStore(LossyStore):
-    """Goes down after the first create."""
+class FailingStore(LossyStore):
+    """Is down after the first create."""
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
-        """Create an object, then be down."""
+        """Create an object, then go down."""
         try:
             return await super().create(kind, name, content)
         finally:
@@ -59,7 +65,7 @@
 
 
 def _create(store: MemoryStore) -> tuple[bool, float]:
-    """Create an object; return the outcome and the time it took."""
+    """Create an object; return whether it is new, and the time it took."""
 
     async def run() -> tuple[bool, float]:
         new = await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
@@ -71,7 +77,7 @@
 @pytest.mark.parametrize(
     ('effect', 'new'), [('now', False), ('late', True), ('never', True)]
 )
-def test_a_create_without_answer_is_settled(effect: str, new: bool) -> None:
+def test_unanswered_create_is_repeated(effect: str, new: bool) -> None:
     store = LossyStore(1, effect)
     found, took = _create(store)
     assert found == new
@@ -79,19 +85,19 @@
     assert store.kinds[KIND]['one'].content == 1
 
 
-def test_a_create_that_is_never_answered_stays_unsure() -> None:
+def test_create_that_is_never_answered_raises_unsure() -> None:
     store = LossyStore(99, 'now')
     with pytest.raises(StoreUnsureError):
         _create(store)
     assert store.calls.count('silent') > 1
 
 
-def test_what_may_have_taken_effect_is_never_called_not_done() -> None:
+def test_store_down_after_unanswered_create_raises_unsure() -> None:
     with pytest.raises(StoreUnsureError):
-        _create(DyingStore(1, 'late'))
+        _create(FailingStore(1, 'late'))
 
 
-def test_a_store_that_refuses_is_told_of_at_once() -> None:
+def test_create_on_store_down_raises_unavailable_at_once() -> None:
     store = MemoryStore()
     store.down = True
     with pytest.raises(StoreUnavailableError):
@@ -99,7 +105,7 @@
     assert store.calls == ['create']
 
 
-def test_a_status_without_answer_is_left_to_who_reads_it_back() -> None:
+def test_unanswered_put_status_returns_false_after_taking_effect() -> None:
     store = MemoryStore()
     store.write(KIND, StoredObject('one', 0, 1))
     store.lose_answers = 1
@@ -114,7 +120,7 @@
     assert store.kinds[KIND]['one'].status == 'done'
 
 
-def test_the_caller_is_answered_within_the_time_to_settle() -> None:
+def test_create_ends_within_retry_budget() -> None:
     store = LossyStore(99, 'now')
 
     async def run() -> float:
@@ -122,4 +128,4 @@
             await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return virtual_now()
 
-    assert play(run()) <= SETTLE_TIME
+    assert play(run()) <= RETRY_BUDGET
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -1,4 +1,4 @@
-"""One instance of a zone watches the store; the others copy from it."""
+"""Which instance of a zone watches the store, and what others copy."""
 
 import random
 
@@ -29,7 +29,7 @@
 from tests.gateway.samples import ENGINES, make_job
 
 ZONE = 'a1'
-LONG = 60.0
+LATER = 60.0
 
 
 def _peer(name: str, **changes: object) -> Peer:
@@ -37,132 +37,132 @@
     return plain._replace(**changes)
 
 
-def _duty(instance: str = 'b') -> WatcherElection:
+def _election(instance: str = 'b') -> WatcherElection:
     return WatcherElection(instance, ZONE, 0)
 
 
-def test_nobody_watches_before_others_could_be_heard() -> None:
-    duty = _duty()
-    assert not duty.decide([], START_WAIT / 2, connected=False)
-    assert duty.decide([], START_WAIT, connected=False)
+def test_no_watch_before_start_wait_is_over() -> None:
+    election = _election()
+    assert not election.decide([], START_WAIT / 2, connected=False)
+    assert election.decide([], START_WAIT, connected=False)
 
 
-def test_who_watches_already_goes_on() -> None:
-    duty = _duty('a')
-    peers = [_peer('z', last_heard=LONG)]
-    assert not duty.decide(peers, LONG, connected=False)
+def test_no_watch_while_a_peer_of_the_zone_watches() -> None:
+    election = _election('a')
+    peers = [_peer('z', last_heard=LATER)]
+    assert not election.decide(peers, LATER, connected=False)
 
 
 @pytest.mark.parametrize(
-    ('rival', 'connected', 'held'),
+    ('other', 'connected', 'watches'),
     [('a', True, False), ('c', True, True), ('c', False, False)],
 )
-def test_of_two_watchers_one_gives_up(
-    rival: str, connected: bool, held: bool
+def test_watcher_yields_to_lower_name_or_when_disconnected(
+    other: str, connected: bool, watches: bool
 ) -> None:
-    duty = _duty('b')
-    assert duty.decide([], LONG, connected=False)
-    peers = [_peer(rival, last_heard=LONG)]
-    assert duty.decide(peers, LONG, connected=connected) == held
-
-
-def test_a_silent_or_leaving_watcher_is_replaced_by_one() -> None:
-    first, second = _duty('b'), _duty('c')
-    gone = WATCHER_SILENCE + LONG
-    for duty in (first, second):
-        watched = [_peer('a', last_heard=LONG)]
-        assert not duty.decide(watched, gone - 0.01, connected=False)
-    near = [
-        _peer('a', last_heard=LONG),
-        _peer('b', last_heard=gone, store_reached=False),
-        _peer('c', last_heard=gone, store_reached=False),
+    election = _election('b')
+    assert election.decide([], LATER, connected=False)
+    peers = [_peer(other, last_heard=LATER)]
+    assert election.decide(peers, LATER, connected=connected) == watches
+
+
+def test_silent_watcher_is_replaced_by_one_candidate_after_another() -> None:
+    first, second = _election('b'), _election('c')
+    silent_at = WATCHER_SILENCE + LATER
+    for election in (first, second):
+        watcher = [_peer('a', last_heard=LATER)]
+        assert not election.decide(watcher, silent_at - 0.01, connected=False)
+    peers = [
+        _peer('a', last_heard=LATER),
+        _peer('b', last_heard=silent_at, store_reached=False),
+        _peer('c', last_heard=silent_at, store_reached=False),
     ]
-    assert first.decide(near, gone, connected=False)
-    assert not second.decide(near, gone, connected=False)
-    assert second.decide(near, gone + RANK_STEP, connected=False)
+    assert first.decide(peers, silent_at, connected=False)
+    assert not second.decide(peers, silent_at, connected=False)
+    assert second.decide(peers, silent_at + RANK_STEP, connected=False)
 
 
-def test_few_try_at_once_while_the_store_is_away() -> None:
+def test_only_first_candidates_try_soon_while_store_is_down() -> None:
     names = [f'{number:02}' for number in range(10)]
-    duties = [_duty(name) for name in names]
+    elections = [_election(name) for name in names]
     trying = set()
     for step in range(40):
         now = START_WAIT + step / 10
         peers = [
-            _peer(one, last_heard=now, store_reached=False) for one in names
+            _peer(other, last_heard=now, store_reached=False) for other in names
         ]
-        for name, duty in zip(names, duties, strict=True):
-            others = [one for one in peers if one.instance != name]
-            if duty.decide(others, now, connected=False):
+        for name, election in zip(names, elections, strict=True):
+            others = [other for other in peers if other.instance != name]
+            if election.decide(others, now, connected=False):
                 trying.add(name)
     assert trying == set(names[:QUICK_RANKS])
 
 
-def test_watchers_of_other_zones_leave_the_own_one_vacant() -> None:
-    peers = [_peer('a', last_heard=LONG, zone='b1')]
-    assert _duty().decide(peers, LONG, connected=False)
+def test_watcher_of_another_zone_does_not_count() -> None:
+    peers = [_peer('a', last_heard=LATER, zone='b1')]
+    assert _election().decide(peers, LATER, connected=False)
 
 
 KNOWN = Revisions(3, 5, 5)
 
 
-def _rule() -> CopySourceSelector:
+def _selector() -> CopySourceSelector:
     return CopySourceSelector(ZONE, lambda: 0)
 
 
 @pytest.mark.parametrize(
-    'news',
+    'newer',
     [{'config_version': 4}, {'upstreams_revision': 6}, {'jobs_revision': 6}],
 )
-def test_news_is_copied_from_the_zones_watcher_at_once(
-    news: dict[str, int],
+def test_newer_state_is_copied_from_zone_watcher_at_once(
+    newer: dict[str, int],
 ) -> None:
-    watcher = _peer('a', upstreams_fingerprint=1, **news)
-    other = _peer('c', store_reached=False, upstreams_fingerprint=1, **news)
-    assert _rule().choose(KNOWN, [other, watcher], 0) == watcher
-    assert _rule().choose(KNOWN, [other], 0) is None
-    assert _rule().choose(Revisions(4, 6, 6), [watcher], 0) is None
+    watcher = _peer('a', upstreams_fingerprint=1, **newer)
+    other = _peer('c', store_reached=False, upstreams_fingerprint=1, **newer)
+    assert _selector().choose(KNOWN, [other, watcher], 0) == watcher
+    assert _selector().choose(KNOWN, [other], 0) is None
+    assert _selector().choose(Revisions(4, 6, 6), [watcher], 0) is None
 
 
 @pytest.mark.parametrize(
-    ('news', 'lag'),
+    ('newer', 'lag'),
     [({'config_version': 4}, URGENT_LAG), ({'jobs_revision': 6}, JOBS_LAG)],
 )
-def test_who_stays_behind_copies_from_any_zone(
-    news: dict[str, int], lag: float
+def test_copies_from_any_zone_after_lag(
+    newer: dict[str, int], lag: float
 ) -> None:
-    rule = _rule()
-    far = _peer('z', zone='b1', upstreams_fingerprint=1, **news)
-    assert rule.choose(KNOWN, [far], 1) is None
-    assert rule.choose(KNOWN, [far], 1 + lag) == far
-    assert rule.choose(KNOWN, [_peer('z')], 2 + lag) is None
-    assert rule.choose(KNOWN, [far], 3 + lag) is None
+    selector = _selector()
+    remote = _peer('z', zone='b1', upstreams_fingerprint=1, **newer)
+    assert selector.choose(KNOWN, [remote], 1) is None
+    assert selector.choose(KNOWN, [remote], 1 + lag) == remote
+    assert selector.choose(KNOWN, [_peer('z')], 2 + lag) is None
+    assert selector.choose(KNOWN, [remote], 3 + lag) is None
 
 
-def test_the_same_entries_are_not_copied_again() -> None:
-    rule = _rule()
+def test_equal_fingerprint_is_not_copied() -> None:
+    selector = _selector()
     same = _peer('z', zone='b1', upstreams_revision=9, upstreams_fingerprint=7)
     known = KNOWN._replace(upstreams_fingerprint=7)
     for now in (0, URGENT_LAG, 2 * URGENT_LAG):
-        assert rule.choose(known, [same], now) is None
+        assert selector.choose(known, [same], now) is None
 
 
-def test_who_keeps_up_with_jobs_copies_from_no_other_zone() -> None:
-    rule = _rule()
+def test_no_copy_from_other_zone_while_keeping_up_with_jobs() -> None:
+    selector = _selector()
     for step in range(100):
-        # Others are always ahead, by less than the time that is allowed.
+        # The peer is always ahead, by less time than JOBS_LAG.
         known = KNOWN._replace(jobs_revision=step - 2)
-        far = _peer('z', zone='b1', jobs_revision=step)
-        assert rule.choose(known, [far], step * JOBS_LAG / 4) is None
+        remote = _peer('z', zone='b1', jobs_revision=step)
+        assert selector.choose(known, [remote], step * JOBS_LAG / 4) is None
 
 
-def _copies(now: float = 0) -> tuple[StateCopier, FleetState, JobStore]:
+def _copier(now: float = 0) -> tuple[StateCopier, FleetState, JobStore]:
     state = FleetState(StoreDocuments(), 'main', lambda: now)
     store = JobStore(MemoryStore(), JobIndex(), random.Random(1), lambda: now)
     return StateCopier(state, store, lambda: now), state, store
 
 
-def _server(name: str, revision: int) -> StoredObject:
+def _entry(name: str, revision: int) -> StoredObject:
     entry = {
         'service': ENGINES,
         'address': '127.0.0.1:9',
@@ -174,46 +174,46 @@
     return StoredObject(name, revision, entry)
 
 
-def test_a_copy_brings_what_is_newer_and_nothing_else() -> None:
-    giver, state, store = _copies()
-    state.replace_upstreams([_server('u1', 4)], 5)
+def test_copy_contains_only_what_is_newer() -> None:
+    source, source_state, store = _copier()
+    source_state.replace_upstreams([_entry('u1', 4)], 5)
     for number in (6, 8):
         name = f'job{number}'
         content = job_to_content(make_job(name))
         store.apply_changes(
             [StoredObject(name, number, content, {'state': ''})], number
         )
-    taker, taken, jobs = _copies()
-    taker.take(giver.give(taker.request()))
-    assert taker.known == giver.known
-    assert taker.known[:3] == (0, 5, 8)
-    assert [one.id for one in taken.roster.usable_upstreams(ENGINES, 0)] == [
-        'u1'
-    ]
+    target, target_state, jobs = _copier()
+    target.apply_copy(source.build_copy(target.build_request()))
+    assert target.revisions == source.revisions
+    assert target.revisions[:3] == (0, 5, 8)
+    assert [
+        entry.id for entry in target_state.roster.usable_upstreams(ENGINES, 0)
+    ] == ['u1']
     assert set(jobs.index.entries) == {'job6', 'job8'}
-    again = giver.give(ttypes.CopyRequest(0, 5, 6))
+    again = source.build_copy(ttypes.CopyRequest(0, 5, 6))
     assert again.upstreams is None
-    assert [one.name for one in again.jobs] == ['job8']
+    assert [entry.name for entry in again.jobs] == ['job8']
 
 
-def test_older_news_does_not_replace_newer() -> None:
-    old, state, _ = _copies()
+def test_older_copy_does_not_replace_newer_state() -> None:
+    old, state, _ = _copier()
     state.replace_upstreams([], 3)
-    taker, taken, _ = _copies()
-    taken.replace_upstreams([_server('u1', 4)], 5)
-    taker.take(old.give(ttypes.CopyRequest(0, 0, 0)))
-    assert taker.known.upstreams_revision == 5
-    assert taken.upstreams
-
-
-def test_entries_that_lapsed_for_the_watcher_lapse_for_all() -> None:
-    giver, state, _ = _copies()
-    taker, taken, _ = _copies()
-    for one in (state, taken):
-        one.replace_upstreams([_server('u1', 4)], 5)
-    state.roster.note_outage(0)
-    state.replace_upstreams([], 6)
-    taker.take(giver.give(taker.request()))
-    found = taken.roster.usable_upstreams(ENGINES, LAPSE_GRACE / 2)
+    target, target_state, _ = _copier()
+    target_state.replace_upstreams([_entry('u1', 4)], 5)
+    target.apply_copy(old.build_copy(ttypes.CopyRequest(0, 0, 0)))
+    assert target.revisions.upstreams_revision == 5
+    assert target_state.upstreams
+
+
+def test_lapsed_entries_in_a_copy_stay_in_use_for_grace_time() -> None:
+    source, source_state, _ = _copier()
+    target, target_state, _ = _copier()
+    for one in (source_state, target_state):
+        one.replace_upstreams([_entry('u1', 4)], 5)
+    source_state.roster.note_outage(0)
+    source_state.replace_upstreams([], 6)
+    target.apply_copy(source.build_copy(target.build_request()))
+    found = target_state.roster.usable_upstreams(ENGINES, LAPSE_GRACE / 2)
     assert [one.id for one in found] == ['u1']
-    assert not taken.roster.usable_upstreams(ENGINES, LAPSE_GRACE + 1)
+    assert not target_state.roster.usable_upstreams(ENGINES, LAPSE_GRACE + 1)
