--- a/gentiantrestle/daemon/online/__init__.py
+++ b/gentiantrestle/daemon/online/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that a caller waits for."""
+"""Online requests: requests whose caller waits for the answer."""
--- a/gentiantrestle/daemon/online/once.py
+++ b/gentiantrestle/daemon/online/at_most_once.py
@@ -1,4 +1,4 @@
-"""Run a request that may not be repeated at most once in the fleet."""
+"""Run a non-repeatable request at most once among all instances."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -9,11 +9,11 @@
 from gentiantrestle.daemon.membership.peers import PeerError
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.online.claims import (
-    Caller,
     Claim,
-    Move,
+    ClaimAction,
+    IdempotencyKey,
     claim_name,
-    decide,
+    resolve_claim,
 )
 from gentiantrestle.errors import (
     ALREADY_STARTED,
@@ -34,16 +34,16 @@
 from gentiantrestle.wire.peer.ttypes import Answer, AnswerRequest, Envelope
 
 RETRY_AFTER = 1  # seconds
-KEEP_FOR = 600.0  # seconds
+KEEP_TIME = 600.0  # seconds after the start of a request
 MAX_KEPT_BYTES = 33554432
-ASK_PERIOD = 0.2  # seconds
+POLL_PERIOD = 0.2  # seconds
 
 
 class Recording:
-    """An answer as it comes; any number of readers get all of it."""
+    """Records an answer as it arrives, for any number of readers."""
 
     def __init__(self, started_at: float) -> None:
-        """Start empty."""
+        """Start empty; ``started_at`` is in seconds of the local clock."""
         self.started_at = started_at
         self.head: Response | None = None
         self.parts: list[bytes] = []
@@ -52,32 +52,36 @@
         self._changed = asyncio.Event()
 
     async def record(self, run: Callable[[], Awaitable[Response]]) -> None:
-        """Run the request and keep its answer; a refusal is one too."""
+        """Run the request and record its answer.
+
+        A refusal is recorded as the answer; any other exception as an
+        internal error.
+        """
         try:
             self.head = await run()
         except RefusedError as exc:
             self.head = answer_refusal(exc.refusal)
-        except Exception as exc:  # noqa: BLE001 (kept, else readers hang)
+        except Exception as exc:  # noqa: BLE001 (recorded, else readers hang)
             events.emit(events.REQUEST_FAILED, error=repr(exc))
             self.head = answer_refusal(
-                Refusal(INTERNAL, 'The request failed inside'),
+                Refusal(INTERNAL, 'The request failed with an internal error'),
             )
         try:
             await self._record_body(self.head)
         finally:
             self.finished = True
-            self._wake()
+            self._notify_readers()
 
     async def replay(self) -> Response:
-        """Answer another reader with the same answer, from its start."""
+        """Return the answer from its start, once its head has come."""
         while self.head is None:
             await self._changed.wait()
-        body: bytes | AsyncIterator[bytes] = self._follow()
+        body: bytes | AsyncIterator[bytes] = self._replay_parts()
         if isinstance(self.head.body, bytes):
             body = self.head.body
         return self.head._replace(body=body)
 
-    async def _follow(self) -> AsyncIterator[bytes]:
+    async def _replay_parts(self) -> AsyncIterator[bytes]:
         position = 0
         while True:
             changed = self._changed
@@ -90,24 +94,24 @@
 
     async def _record_body(self, response: Response) -> None:
         if isinstance(response.body, bytes):
-            self._add(response.body)
+            self._append(response.body)
             return
         async with aclosing(response.body) as parts:
             async for part in parts:
-                self._add(part)
+                self._append(part)
 
-    def _add(self, part: bytes) -> None:
+    def _append(self, part: bytes) -> None:
         self.parts.append(part)
         self.size += len(part)
-        self._wake()
+        self._notify_readers()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-class Once:
-    """Claims keys in the store and remembers the answers given here."""
+class AtMostOnceRunner:
+    """Claims idempotency keys in the store and keeps the answers given here."""
 
     def __init__(
         self,
@@ -115,29 +119,37 @@
         store: StoreClient,
         membership: Membership,
     ) -> None:
-        """Answer peers that ask for a remembered answer."""
+        """Start without answers; serve kept answers to peers."""
         self._ctx = ctx
         self._store = store
         self._membership = membership
         self._recordings: dict[str, Recording] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._locks: dict[str, asyncio.Lock] = {}
-        self._unsure: set[str] = set()
+        self._uncertain_claims: set[str] = set()
         membership.answer('answer_request', self._answer_peer)
 
     @property
     def running(self) -> int:
-        """Count the requests that run without needing their caller."""
+        """Number of claimed requests that still run.
+
+        They continue even if their callers disconnect.
+        """
         return len(self._tasks)
 
     async def run(
         self,
-        caller: Caller,
+        idempotency_key: IdempotencyKey,
         digest: str,
         run: Callable[[], Awaitable[Response]],
     ) -> Response:
-        """Run a request if its key was never claimed, else find its answer."""
-        name = claim_name(caller)
+        """Run a request if its key is unclaimed, else return the first answer.
+
+        ``digest`` identifies the request. Raises ``RefusedError`` if the
+        store does not answer, the key was used for another request, or the
+        first answer can't be had.
+        """
+        name = claim_name(idempotency_key)
         claim = Claim(
             instance=self._ctx.cfg.instance,
             home=str(Address(self._ctx.cfg.host, self._ctx.cfg.peer_port)),
@@ -146,22 +158,22 @@
             at=self._ctx.wall(),
         )
         async with self._locks.setdefault(name, asyncio.Lock()):
-            fresh = name not in self._recordings
-            if fresh and await self._claim(name, claim):
+            is_new = name not in self._recordings
+            if is_new and await self._try_claim(name, claim):
                 self._start(name, run)
         self._locks.pop(name, None)
-        if fresh and name in self._recordings:
+        if is_new and name in self._recordings:
             return await self._recordings[name].replay()
-        return await self._find(name, digest)
+        return await self._find_answer(name, digest)
 
     def expire(self, now: float) -> None:
-        """Forget answers that are old, or too much to keep."""
-        kept = sum(one.size for one in self._recordings.values())
+        """Drop finished answers that are too old or exceed the size limit."""
+        kept = sum(entry.size for entry in self._recordings.values())
         for name, recording in tuple(self._recordings.items()):
             if not recording.finished:
                 continue
-            old = now - recording.started_at > KEEP_FOR
-            if old or kept > MAX_KEPT_BYTES:
+            expired = now - recording.started_at > KEEP_TIME
+            if expired or kept > MAX_KEPT_BYTES:
                 kept -= recording.size
                 self._recordings.pop(name)
 
@@ -170,24 +182,29 @@
         if self._tasks:
             await asyncio.wait(tuple(self._tasks))
 
-    async def _claim(self, name: str, claim: Claim) -> bool:
-        """Claim a key; one whose claim was left unsure here is still free."""
+    async def _try_claim(self, name: str, claim: Claim) -> bool:
+        """Claim a key; return False if another request has claimed it.
+
+        An earlier write of this claim whose outcome was unknown may have
+        taken effect; its request was not run, so the key counts as claimed
+        now.
+        """
         try:
             written = await self._store.put(name, dict(claim), ABSENT)
         except StoreUnavailableError:
             raise _store_refusal() from None
         except StoreUnsureError:
-            self._unsure.add(name)
+            self._uncertain_claims.add(name)
             raise _store_refusal() from None
         if written:
             return True
-        return await self._was_left_unsure(name, claim)
+        return await self._is_own_uncertain_claim(name, claim)
 
-    async def _was_left_unsure(self, name: str, claim: Claim) -> bool:
-        if name not in self._unsure:
+    async def _is_own_uncertain_claim(self, name: str, claim: Claim) -> bool:
+        if name not in self._uncertain_claims:
             return False
         found = await self._read_claim(name)
-        self._unsure.discard(name)
+        self._uncertain_claims.discard(name)
         return all(
             found[field] == claim[field]
             for field in ('instance', 'incarnation', 'digest')
@@ -205,17 +222,17 @@
         task.add_done_callback(self._tasks.discard)
         return recording
 
-    async def _find(self, name: str, digest: str) -> Response:
+    async def _find_answer(self, name: str, digest: str) -> Response:
         found = await self._read_claim(name)
-        me = (self._ctx.cfg.instance, self._ctx.incarnation)
-        move = decide(found, digest, me)
-        if isinstance(move, Move) and move is Move.ASK_HOME:
-            return await self._ask_home(name, found)
+        this_run = (self._ctx.cfg.instance, self._ctx.incarnation)
+        action = resolve_claim(found, digest, this_run)
+        if isinstance(action, ClaimAction) and action is ClaimAction.ASK_HOME:
+            return await self._fetch_from_home(name, found)
         recording = self._recordings.get(name)
-        if not move:
-            raise RefusedError(move)
+        if not action:
+            raise RefusedError(action)
         if recording is None:
-            raise refuse(ALREADY_STARTED, 'Its answer is no longer kept')
+            raise refuse(ALREADY_STARTED, 'The answer is no longer kept')
         return await recording.replay()
 
     async def _read_claim(self, name: str) -> Claim:
@@ -227,10 +244,10 @@
             raise _store_refusal()
         return found.document
 
-    async def _ask_home(self, name: str, claim: Claim) -> Response:
+    async def _fetch_from_home(self, name: str, claim: Claim) -> Response:
         deadline = self._ctx.now() + self._ctx.cfg.answer_timeout
         while self._ctx.now() < deadline:
-            answer = await self._ask(name, claim)
+            answer = await self._request_answer(name, claim)
             if not answer.found:
                 break
             if answer.finished:
@@ -240,10 +257,13 @@
                     answer.content_type,
                     tuple(answer.headers.items()),
                 )
-            await asyncio.sleep(ASK_PERIOD)
-        raise refuse(ALREADY_STARTED, 'Its answer is no longer to be had')
+            await asyncio.sleep(POLL_PERIOD)
+        raise refuse(
+            ALREADY_STARTED,
+            'The instance that ran the request did not supply the answer',
+        )
 
-    async def _ask(self, name: str, claim: Claim) -> Answer:
+    async def _request_answer(self, name: str, claim: Claim) -> Answer:
         envelope = Envelope(answer_request=AnswerRequest(claim=name))
         home = Address.parse(claim['home'])
         try:
@@ -251,7 +271,7 @@
         except PeerError:
             raise refuse(
                 ALREADY_STARTED,
-                'The instance that ran it does not answer',
+                'The instance that ran the request does not answer',
             ) from None
         return reply.answer
 
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on one upstream, with an id of its own."""
+"""Send one attempt of a request to one upstream and read the answer."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -14,7 +14,7 @@
     Stage,
 )
 from gentiantrestle.daemon.upstreams.adapter import (
-    WholeStream,
+    StreamMonitor,
     build_call,
     leaving_incarnation,
 )
@@ -34,14 +34,19 @@
 )
 from gentiantrestle.models import DeploymentDoc
 
-MAX_REASON = 200  # bytes
+MAX_ERROR_BODY = 200  # bytes
 SERVER_ERROR = 500
 RETRY_AFTER = 1  # seconds
-PACE_EVENTS = 4
+EVENTS_PER_SAMPLE = 4  # fewest stream events that one pace sample covers
 
 
 class OnlineRequest(NamedTuple):
-    """One online request that may go to an upstream."""
+    """An online request, checked and ready to be sent to an upstream.
+
+    ``target`` is the path on the upstream, ``repeatable`` tells whether
+    the request may run more than once, and ``tokens`` is the number of
+    tokens that the answer may have.
+    """
 
     client: str
     endpoint: str
@@ -57,131 +62,145 @@
 
 
 class AttemptError(Exception):
-    """One attempt failed, and at this stage."""
+    """An attempt failed at ``stage``."""
 
     def __init__(self, stage: Stage, refusal: Refusal) -> None:
-        """Keep the stage and what to tell when no other attempt follows."""
+        """Keep the refusal to answer with if no other attempt follows."""
         super().__init__(refusal.reason)
         self.stage = stage
         self.refusal = refusal
 
 
 class Attempt:
-    """One try of a request on one upstream, with an id of its own."""
+    """One attempt of a request on one upstream, with its own id."""
 
     def __init__(
         self,
         ctx: Context,
-        work: OnlineRequest,
+        request: OnlineRequest,
         upstream: Upstream,
     ) -> None:
-        """Give the attempt an id; nothing is sent yet."""
+        """Assign an id; nothing is sent yet."""
         self._ctx = ctx
-        self._work = work
+        self._request = request
         self.upstream = upstream
-        self.client = work.client
+        self.client = request.client
         self.attempt_id = uuid4().hex
         self.started_at = ctx.now()
 
     async def send(self) -> Answer:
-        """Send the request; raise ``AttemptError`` when it fails."""
+        """Send the request and wait for the head of the answer.
+
+        Raises ``AttemptError`` if no answer comes in time, or if its status
+        is a server error.
+        """
         call = build_call(
-            self._work.target,
-            self._work.body,
+            self._request.target,
+            self._request.body,
             self.attempt_id,
-            method=self._work.method,
-            content_type=self._work.content_type,
+            method=self._request.method,
+            content_type=self._request.content_type,
         )
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
                 answer = await self.upstream.pool.call(call)
         except NotSentError as exc:
-            raise self._fail(Stage.NOT_SENT, NO_UPSTREAM, exc) from exc
+            raise self._record_failure(
+                Stage.NOT_SENT, NO_UPSTREAM, exc
+            ) from exc
         except (LostError, TimeoutError) as exc:
-            raise self._fail(Stage.SENT, UPSTREAM_UNSURE, exc) from exc
+            raise self._record_failure(
+                Stage.SENT, UPSTREAM_UNSURE, exc
+            ) from exc
         if answer.status >= SERVER_ERROR:
-            raise await self._refused(answer)
+            raise await self._error_from(answer)
         return answer
 
     async def read(self, answer: Answer) -> bytes:
-        """Collect a whole answer."""
+        """Read the whole body and release the connection.
+
+        Raises ``AttemptError`` if the body does not arrive in time.
+        """
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
                 body = await answer.read()
         except (LostError, TimeoutError) as exc:
-            raise self._fail(Stage.SENT, UPSTREAM_UNSURE, exc) from exc
+            raise self._record_failure(
+                Stage.SENT, UPSTREAM_UNSURE, exc
+            ) from exc
         finally:
             self.upstream.pool.release(answer)
         now = self._ctx.now()
-        self.upstream.health.measure(
-            (now - self.started_at) / self._work.tokens,
+        self.upstream.health.record_pace(
+            (now - self.started_at) / self._request.tokens,
             now,
         )
         self.upstream.health.record_success()
         return body
 
     async def stream(self, answer: Answer) -> AsyncIterator[bytes]:
-        """Pass a stream on; end it with an explicit error if it is cut.
+        """Yield a stream's parts; end a cut stream with an error event.
 
-        A stream that is cut before its first part raises instead.
+        Raises ``AttemptError`` if it is cut before its first event is
+        complete.
         """
-        whole = WholeStream()
+        monitor = StreamMonitor()
         error = 'the stream ended early'
         try:
-            async for part in self._paced(answer, whole):
+            async for part in self._timed_parts(answer, monitor):
                 yield part
         except (LostError, TimeoutError) as exc:
             error = repr(exc)
         finally:
-            self._ctx.metrics.tokens.add({}, whole.events)
-        if whole.is_complete:
+            self._ctx.metrics.tokens.add({}, monitor.event_count)
+        if monitor.is_complete:
             self.upstream.health.record_success()
             return
-        if not whole.events:
-            raise self._fail(Stage.SENT, UPSTREAM_UNSURE, error)
-        failure = self._fail(Stage.ANSWERING, CUT_SHORT, error)
+        if not monitor.event_count:
+            raise self._record_failure(Stage.SENT, UPSTREAM_UNSURE, error)
+        failure = self._record_failure(Stage.ANSWERING, CUT_SHORT, error)
         events.emit(events.ANSWER_CUT, attempt=self.attempt_id, error=error)
         yield _error_event(failure.refusal)
 
-    async def _paced(
+    async def _timed_parts(
         self,
         answer: Answer,
-        whole: WholeStream,
+        monitor: StreamMonitor,
     ) -> AsyncIterator[bytes]:
-        stall = self._ctx.cfg.stall_timeout
+        stall_timeout = self._ctx.cfg.stall_timeout
         measured_at, measured_events = self._ctx.now(), 0
-        async with aclosing(answer.parts(stall)) as parts:
+        async with aclosing(answer.parts(stall_timeout)) as parts:
             async for part in parts:
-                whole.feed(part)
-                passed = whole.events - measured_events
-                if passed >= PACE_EVENTS:
+                monitor.feed(part)
+                event_count = monitor.event_count - measured_events
+                if event_count >= EVENTS_PER_SAMPLE:
                     now = self._ctx.now()
-                    self.upstream.health.measure(
-                        (now - measured_at) / passed,
+                    self.upstream.health.record_pace(
+                        (now - measured_at) / event_count,
                         now,
                     )
-                    measured_at, measured_events = now, whole.events
+                    measured_at, measured_events = now, monitor.event_count
                 yield part
 
-    async def _refused(self, answer: Answer) -> AttemptError:
-        leaving = leaving_incarnation(answer)
+    async def _error_from(self, answer: Answer) -> AttemptError:
+        incarnation = leaving_incarnation(answer)
         body = b''
         try:
             body = await answer.read()
         except LostError:
-            leaving = None
+            incarnation = None
         finally:
             self.upstream.pool.release(answer)
-        if leaving is not None:
-            return LeavingError(leaving)
-        text = body[:MAX_REASON].decode(errors='replace')
-        return self._fail(
+        if incarnation is not None:
+            return UpstreamLeavingError(incarnation)
+        text = body[:MAX_ERROR_BODY].decode(errors='replace')
+        return self._record_failure(
             Stage.SENT,
             UPSTREAM_FAILED,
             f'status {answer.status}: {text}',
         )
 
-    def _fail(
+    def _record_failure(
         self, stage: Stage, kind: ErrorKind, error: object
     ) -> AttemptError:
         now = self._ctx.now()
@@ -194,39 +213,47 @@
         return AttemptError(stage, Refusal(kind, reason, retry_after))
 
 
-class LeavingError(AttemptError):
-    """The upstream said that it is leaving and did not run the request."""
+class UpstreamLeavingError(AttemptError):
+    """The upstream is leaving and refused the request without running it."""
 
     def __init__(self, incarnation: int) -> None:
-        """Keep the incarnation that leaves."""
+        """Keep the incarnation of the upstream that is leaving."""
         super().__init__(
             Stage.NOT_SENT,
-            Refusal(NO_UPSTREAM, 'The upstream is leaving', RETRY_AFTER),
+            Refusal(
+                NO_UPSTREAM,
+                'The upstream is leaving and takes no new requests',
+                RETRY_AFTER,
+            ),
         )
         self.incarnation = incarnation
 
 
 class AnswerStream:
-    """An upstream's stream; closing it gives slot and connection back.
+    """A streamed answer; closing it releases the slot and the connection.
 
-    A plain generator would keep both if it were closed before its start.
+    A plain generator that is closed before its first step runs none of its
+    code and would release neither.
     """
 
     def __init__(
         self,
         attempt: Attempt,
         answer: Answer,
-        leave: Callable[[Attempt], None],
+        release: Callable[[Attempt], None],
     ) -> None:
-        """Hold the slot until closed."""
+        """Take over the slot; ``release`` is called once, on close."""
         self._attempt = attempt
         self._answer = answer
-        self._leave: Callable[[Attempt], None] | None = leave
+        self._release: Callable[[Attempt], None] | None = release
         self._parts = attempt.stream(answer)
         self._first = b''
 
     async def begin(self) -> None:
-        """Wait for the first part; close and raise if none comes."""
+        """Wait for the first part.
+
+        If the attempt fails before it comes, close and raise its error.
+        """
         try:
             self._first = await anext(self._parts, b'')
         except BaseException:
@@ -234,17 +261,17 @@
             raise
 
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Iterate over the parts of the answer."""
+        """Iterate over the parts of the answer, from the first."""
         return self._iterate()
 
     async def aclose(self) -> None:
-        """Stop reading; closing twice is the same as once."""
+        """Stop reading and release the slot; idempotent."""
         await self._parts.aclose()
-        leave = self._leave
-        self._leave = None
-        if leave is not None:
+        release = self._release
+        self._release = None
+        if release is not None:
             self._attempt.upstream.pool.release(self._answer)
-            leave(self._attempt)
+            release(self._attempt)
 
     async def _iterate(self) -> AsyncIterator[bytes]:
         yield self._first
--- a/gentiantrestle/daemon/online/hedging.py
+++ b/gentiantrestle/daemon/online/hedging.py
@@ -1,29 +1,33 @@
-"""When a slow start of an answer is worth a second attempt; no I/O."""
+"""Hedging: when to start a second attempt for a slow request; no I/O."""
 
 SMOOTHING = 0.1
 HEDGE_FACTOR = 3.0
 MIN_DELAY = 0.03  # seconds
-FIRST_DELAY = 1.0  # seconds
-SHORT_PROMPT = 4000  # characters
+INITIAL_DELAY = 1.0  # seconds
+MAX_HEDGED_PROMPT = 4000  # characters
 
 
 class HedgeRule:
-    """Learns how long answers usually take to begin."""
+    """Derives the hedging delay from how long streams take to start."""
 
     def __init__(self) -> None:
-        """Start careful, until something is learnt."""
-        self._usual: float | None = None
+        """Use ``INITIAL_DELAY`` until a start has been recorded."""
+        self._smoothed_start: float | None = None
 
-    def note_start(self, seconds: float) -> None:
-        """Take in the time to the first part of a good answer."""
-        if self._usual is None:
-            self._usual = seconds
-        self._usual += SMOOTHING * (seconds - self._usual)
+    def record_start(self, seconds: float) -> None:
+        """Record the seconds until the first part of a stream came."""
+        if self._smoothed_start is None:
+            self._smoothed_start = seconds
+        self._smoothed_start += SMOOTHING * (seconds - self._smoothed_start)
 
     def delay(self, prompt: str, *, repeatable: bool) -> float | None:
-        """Return when to try a second upstream, in s, or never."""
-        if not repeatable or len(prompt) > SHORT_PROMPT:
+        """Return the seconds after which to try a second upstream.
+
+        Return None for a request that must not be hedged: one that is not
+        repeatable, or whose prompt is long.
+        """
+        if not repeatable or len(prompt) > MAX_HEDGED_PROMPT:
             return None
-        if self._usual is None:
-            return FIRST_DELAY
-        return max(MIN_DELAY, HEDGE_FACTOR * self._usual)
+        if self._smoothed_start is None:
+            return INITIAL_DELAY
+        return max(MIN_DELAY, HEDGE_FACTOR * self._smoothed_start)
--- a/gentiantrestle/daemon/online/queue.py
+++ b/gentiantrestle/daemon/online/queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests, fair between clients; decisions only, no I/O."""
+"""Queue of waiting requests, fair between clients; no I/O."""
 
 from collections import OrderedDict, deque
 from typing import Any, NamedTuple
@@ -9,15 +9,19 @@
 
 
 class Ticket(NamedTuple):
-    """One waiting request: whose it is, and when it is too late."""
+    """A queued request of one client.
+
+    ``pop`` drops it once ``deadline``, in seconds of the local clock, has
+    passed. The queue does not look at ``payload``.
+    """
 
     client: str
     deadline: float
-    token: Any
+    payload: Any
 
 
 class FairQueue:
-    """Clients take turns; within a client, first come is first served."""
+    """Serves clients in turn, and the requests of one client in order."""
 
     def __init__(self, length: int) -> None:
         """Hold at most ``length`` requests."""
@@ -26,20 +30,21 @@
         self._size = 0
 
     def __len__(self) -> int:
-        """Count the waiting requests."""
+        """Number of queued requests."""
         return self._size
 
     @property
-    def clients(self) -> int:
-        """Count the clients that wait."""
+    def client_count(self) -> int:
+        """Number of clients that have queued requests."""
         return len(self._clients)
 
     def push(self, ticket: Ticket) -> Ticket | Refusal | None:
         """Queue a request.
 
-        When the queue is full, the newest request of the client that waits
-        with most makes room and is returned; if that is this client, it is
-        refused itself.
+        When the queue is full, the newest request of the client with the most
+        queued requests is evicted and returned. If this client has as many,
+        or just one fewer, its request is not queued and a refusal is
+        returned.
         """
         evicted = None
         if self._size >= self._length:
@@ -51,7 +56,10 @@
         return evicted
 
     def pop(self, now: float) -> Ticket | None:
-        """Take the next request that is not too late."""
+        """Take the next request whose deadline has not passed.
+
+        Requests that are past their deadline are dropped.
+        """
         while self._clients:
             client, waiting = next(iter(self._clients.items()))
             ticket = waiting.popleft()
@@ -64,14 +72,14 @@
         return None
 
     def push_front(self, ticket: Ticket) -> None:
-        """Put a request back that was popped in vain."""
+        """Return a popped request to the head of the queue."""
         waiting = self._clients.setdefault(ticket.client, deque())
         waiting.appendleft(ticket)
         self._clients.move_to_end(ticket.client, last=False)
         self._size += 1
 
     def remove(self, ticket: Ticket) -> None:
-        """Take a request out that waits no longer."""
+        """Remove a request; do nothing if it is not queued."""
         waiting = self._clients.get(ticket.client)
         if waiting is None or ticket not in waiting:
             return
@@ -81,15 +89,15 @@
             self._clients.pop(ticket.client)
 
     def _make_room(self, client: str) -> Ticket | Refusal:
-        longest = max(
+        longest_client = max(
             self._clients,
             key=lambda name: len(self._clients[name]),
             default=client,
         )
-        own = len(self._clients.get(client, ()))
-        most = len(self._clients.get(longest, ()))
-        if own >= most - 1:
+        own_count = len(self._clients.get(client, ()))
+        longest_count = len(self._clients.get(longest_client, ()))
+        if own_count >= longest_count - 1:
             return Refusal(OVERLOADED, 'The queue is full', RETRY_AFTER)
-        evicted = self._clients[longest].pop()
+        evicted = self._clients[longest_client].pop()
         self._size -= 1
         return evicted
--- a/gentiantrestle/daemon/online/race.py
+++ b/gentiantrestle/daemon/online/race.py
@@ -1,4 +1,4 @@
-"""Attempts side by side: the first good one wins, the others leave no trace."""
+"""Concurrent attempts: the first success wins, the others are cancelled."""
 
 import asyncio
 from collections.abc import Sequence
@@ -6,58 +6,58 @@
 
 from gentiantrestle.http.messages import Response
 
-KEPT = 'kept'
+WINNER_NAME = 'kept'
 
 Attempts: TypeAlias = Sequence[asyncio.Task[Response]]
 
 
-async def first_good(tasks: Attempts, patience: float) -> Response:
-    """Return the first answer; raise the last failure if there is none.
+async def first_success(tasks: Attempts, second_timeout: float) -> Response:
+    """Return the first answer; if all attempts fail, raise a failure.
 
-    The first attempt is late already: when it begins all the same, the
-    second still has ``patience`` seconds to begin and win.
+    A second attempt is preferred if it succeeds within ``second_timeout``
+    seconds, even if the first, which is already late, succeeds before it.
     """
     if len(tasks) > 1:
-        await asyncio.wait(tasks[1:], timeout=patience)
-        if is_good(tasks[1]):
-            return keep(tasks[1])
+        await asyncio.wait(tasks[1:], timeout=second_timeout)
+        if has_succeeded(tasks[1]):
+            return mark_winner(tasks[1])
     waiting = set(tasks)
     while True:
         done, waiting = await asyncio.wait(
             waiting,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        good = [task for task in done if is_good(task)]
+        good = [task for task in done if has_succeeded(task)]
         if good:
-            return keep(good[0])
+            return mark_winner(good[0])
         if not waiting:
             return done.pop().result()
 
 
-def is_good(task: asyncio.Task[Response]) -> bool:
-    """Tell whether an attempt has an answer."""
+def has_succeeded(task: asyncio.Task[Response]) -> bool:
+    """Tell whether an attempt has ended with an answer."""
     return task.done() and not task.cancelled() and task.exception() is None
 
 
-def keep(task: asyncio.Task[Response]) -> Response:
-    """Mark an answer as the one that is used."""
-    task.set_name(KEPT)
+def mark_winner(task: asyncio.Task[Response]) -> Response:
+    """Mark an attempt as the winner and return its answer."""
+    task.set_name(WINNER_NAME)
     return task.result()
 
 
-def was_kept(task: asyncio.Task[Response]) -> bool:
-    """Tell whether an attempt has won."""
-    return task.get_name() == KEPT
+def is_winner(task: asyncio.Task[Response]) -> bool:
+    """Tell whether an attempt was marked as the winner."""
+    return task.get_name() == WINNER_NAME
 
 
-async def discard(tasks: Attempts) -> None:
-    """Cancel the attempts that did not win, and close their answers."""
+async def cancel_losers(tasks: Attempts) -> None:
+    """Cancel the attempts that did not win, and close their streams."""
     for task in tasks:
-        if not was_kept(task):
+        if not is_winner(task):
             task.cancel()
     await asyncio.wait(tasks)
     for task in tasks:
-        if not was_kept(task) and is_good(task):
+        if not is_winner(task) and has_succeeded(task):
             await _close(task)
 
 
--- a/gentiantrestle/daemon/online/relay.py
+++ b/gentiantrestle/daemon/online/relay.py
@@ -1,23 +1,27 @@
-"""Find an upstream for each request; try again, or a second, if allowed."""
+"""Relay requests to upstreams, with retries and hedging where allowed."""
 
 import asyncio
 
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.online.admission import Admission, Wanted
+from gentiantrestle.daemon.online.admission import Admission, SlotRequest
 from gentiantrestle.daemon.online.attempt import (
     AnswerStream,
     Attempt,
     AttemptError,
-    LeavingError,
     OnlineRequest,
+    UpstreamLeavingError,
 )
 from gentiantrestle.daemon.online.hedging import HedgeRule
-from gentiantrestle.daemon.online.race import discard, first_good, was_kept
+from gentiantrestle.daemon.online.race import (
+    cancel_losers,
+    first_success,
+    is_winner,
+)
 from gentiantrestle.daemon.online.retries import (
     Failure,
     RetryBudget,
     Verdict,
-    judge,
+    classify_failure,
 )
 from gentiantrestle.daemon.upstreams.service import Upstream, UpstreamRegistry
 from gentiantrestle.errors import (
@@ -31,128 +35,148 @@
 
 
 class Relay:
-    """Finds an upstream for each request and tries again where allowed."""
+    """Relays each request to an upstream, with retries and hedging."""
 
     def __init__(
         self,
         ctx: Context,
-        fleet: UpstreamRegistry,
+        registry: UpstreamRegistry,
         admission: Admission,
     ) -> None:
-        """Start with a full retry budget."""
+        """Start with a fresh retry budget for every client."""
         self._ctx = ctx
-        self._fleet = fleet
+        self._registry = registry
         self._admission = admission
         self._budgets: dict[str, RetryBudget] = {}
-        self._hedges = HedgeRule()
+        self._hedge_rule = HedgeRule()
+
+    async def answer(self, request: OnlineRequest) -> Response:
+        """Answer a request, or raise ``RefusedError``.
 
-    async def answer(self, work: OnlineRequest) -> Response:
-        """Answer a request, or raise a refusal that says if it was run."""
-        budget = self._budgets.setdefault(work.client, RetryBudget())
-        budget.note_request(self._ctx.now())
+        The kind of its refusal tells whether the request may have run.
+        """
+        budget = self._budgets.setdefault(request.client, RetryBudget())
+        budget.record_request(self._ctx.now())
         excluded: set[str] = set()
         attempts = 0
         while True:
             attempts += 1
-            wanted = Wanted(
-                work.client,
-                work.deployment,
-                work.prompt,
+            slot_request = SlotRequest(
+                request.client,
+                request.deployment,
+                request.prompt,
                 frozenset(excluded),
             )
-            upstream = await self._admission.enter(wanted)
+            upstream = await self._admission.acquire(slot_request)
             try:
-                return await self._race(work, upstream, wanted, budget)
+                return await self._race(request, upstream, slot_request, budget)
             except AttemptError as exc:
-                failure = Failure(exc.stage, work.repeatable, attempts)
+                failure = Failure(exc.stage, request.repeatable, attempts)
                 excluded.add(upstream.name)
-                self._follow(failure, exc, budget, len(excluded), work)
+                self._raise_unless_retry(
+                    failure, exc, budget, len(excluded), request
+                )
 
     async def _race(
         self,
-        work: OnlineRequest,
+        request: OnlineRequest,
         upstream: Upstream,
-        wanted: Wanted,
+        slot_request: SlotRequest,
         budget: RetryBudget,
     ) -> Response:
-        """Try one upstream, and a second one if the first is slow to start.
+        """Try one upstream, and hedge with a second one if it is slow to start.
 
-        The first answer that begins is the answer; the other attempt is
-        cancelled before any of its parts is passed on.
+        The other attempt is cancelled before any of its parts reaches the
+        caller.
         """
-        delay = self._hedges.delay(work.prompt, repeatable=work.repeatable)
-        began = self._ctx.now()
-        tasks = [asyncio.create_task(self._try(work, upstream))]
+        delay = self._hedge_rule.delay(
+            request.prompt, repeatable=request.repeatable
+        )
+        started_at = self._ctx.now()
+        tasks = [asyncio.create_task(self._run_attempt(request, upstream))]
         try:
             done, _ = await asyncio.wait(tasks, timeout=delay)
-            second = None if done else self._second(wanted, upstream, budget)
+            second = (
+                None
+                if done
+                else self._acquire_second(slot_request, upstream, budget)
+            )
             if second is not None:
-                tasks.append(asyncio.create_task(self._try(work, second)))
-            response = await first_good(tasks, delay or 0)
+                tasks.append(
+                    asyncio.create_task(self._run_attempt(request, second))
+                )
+            response = await first_success(tasks, delay or 0)
         finally:
-            await discard(tasks)
-        if not was_kept(tasks[0]):
-            self._note_late(upstream, began)
+            await cancel_losers(tasks)
+        if not is_winner(tasks[0]):
+            self._record_slow_start(upstream, started_at)
         return response
 
-    def _note_late(self, upstream: Upstream, began: float) -> None:
-        """Count a start that was overtaken as a slow token."""
+    def _record_slow_start(self, upstream: Upstream, started_at: float) -> None:
+        """Record the time without an answer as the upstream's token time."""
         now = self._ctx.now()
-        upstream.health.measure(now - began, now)
+        upstream.health.record_pace(now - started_at, now)
 
-    def _second(
+    def _acquire_second(
         self,
-        wanted: Wanted,
+        slot_request: SlotRequest,
         first: Upstream,
         budget: RetryBudget,
     ) -> Upstream | None:
-        """Take a free slot elsewhere, if there is one and the budget lasts."""
-        others = wanted._replace(excluded=wanted.excluded | {first.name})
-        if not self._admission.has_free(others):
+        """Take a free slot on another upstream, within the retry budget."""
+        elsewhere = slot_request._replace(
+            excluded=slot_request.excluded | {first.name}
+        )
+        if not self._admission.has_free_slot(elsewhere):
             return None
-        if not budget.take(self._ctx.now()):
+        if not budget.try_spend(self._ctx.now()):
             return None
         self._ctx.metrics.attempts.inc({'outcome': 'hedge'})
-        return self._admission.take_free(others)
+        return self._admission.acquire_if_free(elsewhere)
 
-    def _follow(
+    def _raise_unless_retry(
         self,
         failure: Failure,
         exc: AttemptError,
         budget: RetryBudget,
-        tried: int,
-        work: OnlineRequest,
+        tried_count: int,
+        request: OnlineRequest,
     ) -> None:
-        """Return if another attempt may follow; else raise the refusal."""
-        others_left = tried < len(work.deployment['upstreams'])
-        within = others_left and budget.take(self._ctx.now())
-        if judge(failure, within_budget=within) is not Verdict.RETRY:
+        """Raise the refusal unless another attempt may follow."""
+        has_untried = tried_count < len(request.deployment['upstreams'])
+        within_budget = has_untried and budget.try_spend(self._ctx.now())
+        if (
+            classify_failure(failure, within_budget=within_budget)
+            is not Verdict.RETRY
+        ):
             raise RefusedError(exc.refusal) from exc
         self._ctx.metrics.attempts.inc({'outcome': 'retry'})
 
-    async def _try(self, work: OnlineRequest, upstream: Upstream) -> Response:
-        attempt = Attempt(self._ctx, work, upstream)
+    async def _run_attempt(
+        self, request: OnlineRequest, upstream: Upstream
+    ) -> Response:
+        attempt = Attempt(self._ctx, request, upstream)
         try:
             answer = await attempt.send()
-        except LeavingError as exc:
-            self._fleet.mark_leaving(upstream.name, exc.incarnation)
-            self._leave(attempt)
+        except UpstreamLeavingError as exc:
+            self._registry.mark_leaving(upstream.name, exc.incarnation)
+            self._release_slot(attempt)
             raise
         except BaseException:
-            self._leave(attempt)
+            self._release_slot(attempt)
             raise
         kind = answer.header('Content-Type') or JSON
         if kind.startswith(EVENT_STREAM):
-            stream = AnswerStream(attempt, answer, self._leave)
+            stream = AnswerStream(attempt, answer, self._release_slot)
             await stream.begin()
-            self._hedges.note_start(self._ctx.now() - attempt.started_at)
+            self._hedge_rule.record_start(self._ctx.now() - attempt.started_at)
             return Response(answer.status, stream, kind)
         try:
             body = await attempt.read(answer)
         finally:
-            self._leave(attempt)
+            self._release_slot(attempt)
         return Response(answer.status, body, kind)
 
-    def _leave(self, attempt: Attempt) -> None:
+    def _release_slot(self, attempt: Attempt) -> None:
         seconds = self._ctx.now() - attempt.started_at
-        self._admission.leave(attempt.client, attempt.upstream, seconds)
+        self._admission.release(attempt.client, attempt.upstream, seconds)
--- a/gentiantrestle/daemon/online/retries.py
+++ b/gentiantrestle/daemon/online/retries.py
@@ -1,16 +1,16 @@
-"""Whether a failed attempt may be followed by another; no I/O."""
+"""Retry rules and the retry budget; no I/O."""
 
 from enum import Enum
 from typing import NamedTuple
 
 MAX_ATTEMPTS = 3
 BUDGET_RATIO = 0.2
-BUDGET_FLOOR = 10.0
-BUDGET_DECAY = 10.0  # seconds
+BUDGET_FLOOR = 10.0  # retries
+BUDGET_DECAY_TIME = 10.0  # seconds
 
 
 class Stage(Enum):
-    """How far an attempt had come when it failed."""
+    """How far an attempt had got when it failed."""
 
     NOT_SENT = 'not sent'
     SENT = 'sent'
@@ -18,7 +18,11 @@
 
 
 class Verdict(Enum):
-    """What follows a failed attempt."""
+    """What follows a failed attempt.
+
+    Without a retry, the request was not run, its outcome is unknown, or its
+    answer was cut short.
+    """
 
     RETRY = 'retry'
     NOT_RUN = 'not run'
@@ -27,15 +31,19 @@
 
 
 class Failure(NamedTuple):
-    """A failed attempt, the number of attempts so far included."""
+    """A failed attempt; ``attempts`` counts those so far, this one included."""
 
     stage: Stage
     repeatable: bool
     attempts: int
 
 
-def judge(failure: Failure, *, within_budget: bool) -> Verdict:
-    """Decide what follows; work that may have run is never called not run."""
+def classify_failure(failure: Failure, *, within_budget: bool) -> Verdict:
+    """Decide what follows a failed attempt.
+
+    A request that was sent is never classified as not run, since the upstream
+    may have run it.
+    """
     if failure.stage is Stage.ANSWERING:
         return Verdict.CUT
     may_repeat = failure.repeatable or failure.stage is Stage.NOT_SENT
@@ -47,21 +55,21 @@
 
 
 class RetryBudget:
-    """Retries may be a share of the requests of the last seconds."""
+    """Limits retries and hedges to a floor and a share of recent requests."""
 
     def __init__(self) -> None:
-        """Start with the floor, so that a quiet instance may retry."""
+        """Start empty; the floor allows retries with few requests."""
         self._requests = float(0)
         self._retries = float(0)
         self._decayed_at: float | None = None
 
-    def note_request(self, now: float) -> None:
-        """Count a request that came in."""
+    def record_request(self, now: float) -> None:
+        """Count a new request, which adds to the budget."""
         self._decay(now)
         self._requests += 1
 
-    def take(self, now: float) -> bool:
-        """Spend one retry if the budget has one."""
+    def try_spend(self, now: float) -> bool:
+        """Spend one retry; return False if the budget is used up."""
         self._decay(now)
         if self._retries >= BUDGET_FLOOR + BUDGET_RATIO * self._requests:
             return False
@@ -70,8 +78,8 @@
 
     def _decay(self, now: float) -> None:
         if self._decayed_at is not None:
-            passed = max(0, now - self._decayed_at)
-            kept = max(0, 1 - passed / BUDGET_DECAY)
-            self._requests *= kept
-            self._retries *= kept
+            elapsed = max(0, now - self._decayed_at)
+            remaining = max(0, 1 - elapsed / BUDGET_DECAY_TIME)
+            self._requests *= remaining
+            self._retries *= remaining
         self._decayed_at = now
--- a/gentiantrestle/daemon/online/service.py
+++ b/gentiantrestle/daemon/online/service.py
@@ -1,13 +1,13 @@
-"""The child that answers callers who wait."""
+"""The supervised child that answers online requests."""
 
 import asyncio
 
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.online.admission import Admission
+from gentiantrestle.daemon.online.at_most_once import AtMostOnceRunner
 from gentiantrestle.daemon.online.attempt import OnlineRequest
-from gentiantrestle.daemon.online.claims import Caller, body_digest
-from gentiantrestle.daemon.online.once import Once
+from gentiantrestle.daemon.online.claims import IdempotencyKey, request_digest
 from gentiantrestle.daemon.online.relay import Relay
 from gentiantrestle.daemon.report.service import Reporter
 from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
@@ -15,50 +15,59 @@
 from gentiantrestle.http.messages import Response
 from gentiantrestle.store.client import StoreClient
 
-PUMP_PERIOD = 0.05  # seconds
+DISPATCH_PERIOD = 0.05  # seconds
 
 
 class OnlineService:
-    """Answers requests: directly, or at most once by their key."""
+    """Answers online requests, at most once where they carry a key."""
 
     def __init__(
         self,
         ctx: Context,
         store: StoreClient,
         membership: Membership,
-        fleet: UpstreamRegistry,
+        registry: UpstreamRegistry,
         reporter: Reporter,
     ) -> None:
-        """Share one queue and one memory of answers."""
+        """Use one queue and one store of kept answers for all requests."""
         self._ctx = ctx
         self.reporter = reporter
-        self.admission = Admission(ctx, fleet)
-        self._relay = Relay(ctx, fleet, self.admission)
-        self.at_most_once = Once(ctx, store, membership)
+        self.admission = Admission(ctx, registry)
+        self._relay = Relay(ctx, registry, self.admission)
+        self.at_most_once = AtMostOnceRunner(ctx, store, membership)
 
     async def run(self) -> None:
-        """Let waiting requests go as slots come free elsewhere."""
+        """Dispatch the queue and expire kept answers until cancelled.
+
+        The periodic dispatch notices slots that other instances have freed.
+        """
         while True:
             now = self._ctx.now()
-            self.admission.pump(now)
+            self.admission.dispatch(now)
             self.at_most_once.expire(now)
-            await asyncio.sleep(PUMP_PERIOD)
+            await asyncio.sleep(DISPATCH_PERIOD)
+
+    async def answer(self, request: OnlineRequest, key: str | None) -> Response:
+        """Answer one request, or raise ``RefusedError``.
 
-    async def answer(self, work: OnlineRequest, key: str | None) -> Response:
-        """Answer one request; a key makes a resend find the first answer."""
-        measure = self.reporter.measure(work.endpoint)
+        If a non-repeatable request has a key, it runs at most once, and a
+        resend with the same key gets the first answer.
+        """
+        measure = self.reporter.measure(request.endpoint)
         try:
-            response = await self._answer(work, key)
+            response = await self._answer(request, key)
         except RefusedError as exc:
             measure.refused(exc)
             raise
         return measure.answered(response)
 
-    async def _answer(self, work: OnlineRequest, key: str | None) -> Response:
-        if work.repeatable or key is None:
-            return await self._relay.answer(work)
+    async def _answer(
+        self, request: OnlineRequest, key: str | None
+    ) -> Response:
+        if request.repeatable or key is None:
+            return await self._relay.answer(request)
         return await self.at_most_once.run(
-            Caller(work.client, key),
-            body_digest(work.target, work.body),
-            lambda: self._relay.answer(work),
+            IdempotencyKey(request.client, key),
+            request_digest(request.target, request.body),
+            lambda: self._relay.answer(request),
         )
--- a/gentiantrestle/daemon/upstreams/__init__.py
+++ b/gentiantrestle/daemon/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The servers behind the system: their state, load and protocol."""
+"""Upstreams: health, load, routing and the engines' protocol."""
--- a/gentiantrestle/daemon/upstreams/adapter.py
+++ b/gentiantrestle/daemon/upstreams/adapter.py
@@ -1,4 +1,4 @@
-"""How engines and plain services are spoken to; replaced with them."""
+"""Protocol of the engines and plain services; changes when they do."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -20,63 +20,66 @@
 def build_call(
     target: str,
     body: bytes,
-    attempt: str,
+    attempt_id: str,
     *,
     method: str = 'POST',
     content_type: str = JSON,
 ) -> Call:
-    """Build the call of one attempt; its id goes with it."""
+    """Build the call of one attempt, with its id in ``X-Attempt-Id``."""
     return Call(
         method,
         target,
-        (('Content-Type', content_type), ('X-Attempt-Id', attempt)),
+        (('Content-Type', content_type), ('X-Attempt-Id', attempt_id)),
         body,
     )
 
 
 def leaving_incarnation(answer: Answer) -> int | None:
-    """Return the incarnation that refuses work since it is leaving."""
-    mark = answer.header('X-Leaving')
-    return int(mark) if mark.isdigit() else None
+    """Return the incarnation of a leaving upstream that refused a request.
+
+    Return None if the answer is not such a refusal.
+    """
+    incarnation = answer.header('X-Leaving')
+    return int(incarnation) if incarnation.isdigit() else None
 
 
 def expected_tokens(body: Mapping[str, Any]) -> int:
-    """Return how many tokens an answer may have."""
-    wanted = body.get('max_tokens', DEFAULT_TOKENS)
-    if isinstance(wanted, int) and wanted > 0:
-        return wanted
+    """Return the most tokens that the answer to a request may have."""
+    max_tokens = body.get('max_tokens', DEFAULT_TOKENS)
+    if isinstance(max_tokens, int) and max_tokens > 0:
+        return max_tokens
     return DEFAULT_TOKENS
 
 
-def build_stream_body(body: Mapping[str, Any], known_tokens: int) -> bytes:
-    """Ask for a stream that goes on after the tokens already known."""
-    asked = {**body, 'stream': True}
-    if known_tokens:
-        asked['resume_from'] = known_tokens
-    return msgspec.json.encode(asked)
+def build_stream_body(body: Mapping[str, Any], received_tokens: int) -> bytes:
+    """Build the body that asks for a stream after the tokens received."""
+    request = {**body, 'stream': True}
+    if received_tokens:
+        request['resume_from'] = received_tokens
+    return msgspec.json.encode(request)
 
 
-class WholeStream:
-    """Watches a stream pass by and tells whether it came whole."""
+class StreamMonitor:
+    """Counts the events of a relayed stream and detects its end."""
 
     def __init__(self) -> None:
-        """Start before the first byte."""
+        """Start before the first byte of the stream."""
         self._tail = b''
-        self.events = 0
+        self.event_count = 0
 
     def feed(self, part: bytes) -> None:
-        """Look at one part of the stream."""
-        self.events += (self._tail[-1:] + part).count(EVENT_END)
+        """Take the next part of the stream, split anywhere."""
+        self.event_count += (self._tail[-1:] + part).count(EVENT_END)
         self._tail = (self._tail + part)[-TAIL_LENGTH:]
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether the last event was the mark of the end."""
+        """Tell whether the stream has ended with the end marker."""
         return self._tail.endswith(DONE_MARK + EVENT_END)
 
 
 class TokenStreamReader:
-    """Splits an engine's stream into tokens."""
+    """Parses an engine's stream into the texts of its tokens."""
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
@@ -84,20 +87,20 @@
         self.is_complete = False
 
     def feed(self, part: bytes) -> list[str]:
-        """Return the texts of the events that are complete."""
-        lines = (self._buffer + part).split(EVENT_END)
-        self._buffer = lines.pop()
+        """Take the next part, split anywhere; return the texts it completes."""
+        stream_events = (self._buffer + part).split(EVENT_END)
+        self._buffer = stream_events.pop()
         texts = []
-        for line in lines:
-            if line.startswith(DONE_MARK):
+        for stream_event in stream_events:
+            if stream_event.startswith(DONE_MARK):
                 self.is_complete = True
-            elif line.startswith(EVENT_START):
-                texts.append(event_text(line[len(EVENT_START) :]))
+            elif stream_event.startswith(EVENT_START):
+                texts.append(event_text(stream_event[len(EVENT_START) :]))
         return texts
 
 
 def event_text(payload: bytes) -> str:
-    """Read the text of one completion or chat event."""
+    """Return the text of one completion or chat event."""
     choice = msgspec.json.decode(payload)['choices'][0]
     delta = choice.get('delta', {})
     return choice.get('text', delta.get('content', ''))
@@ -106,7 +109,7 @@
 def build_completion(
     target: str, texts: list[str], model: str
 ) -> dict[str, Any]:
-    """Build the answer that a request without streaming would get."""
+    """Build the non-streamed answer from the texts of a stream's tokens."""
     text = ''.join(texts)
     choice: dict[str, Any] = {'index': 0, 'finish_reason': 'stop'}
     kind = 'text_completion'
@@ -124,7 +127,7 @@
 
 
 def prompt_text(body: Mapping[str, Any]) -> str:
-    """Return the text that the engine has to read."""
+    """Return the prompt of a completion, or the joined chat messages."""
     prompt = body.get('prompt')
     if isinstance(prompt, str):
         return prompt
--- a/gentiantrestle/daemon/upstreams/health.py
+++ b/gentiantrestle/daemon/upstreams/health.py
@@ -1,4 +1,4 @@
-"""Own measurements of one upstream; decisions only, no I/O."""
+"""Health of an upstream as this instance measures it; no I/O."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -9,38 +9,46 @@
 FIRST_BACKOFF = 0.5  # seconds
 FAILURES_TO_OPEN = 3
 SLOW_FACTOR = 2.5
-SAMPLES_TO_JUDGE = 4
-FORGET_PACE_AFTER = 5.0  # seconds
+MIN_PACE_SAMPLES = 4
+MAX_PACE_AGE = 5.0  # seconds
 
 
 class Health:
-    """Failures in a row and the smoothed pace of an upstream."""
+    """Circuit breaker and smoothed pace of one upstream.
+
+    The pace is in seconds per token. Times are of one monotonic clock, in
+    seconds.
+    """
 
     def __init__(self, failures_to_open: int = FAILURES_TO_OPEN) -> None:
-        """Start as healthy, without measurements."""
+        """Start healthy; ``failures_to_open`` in a row open the breaker."""
         self._failures_to_open = failures_to_open
         self.failures = 0
-        self.closed_until = float(0)
+        self.open_until = float(0)
         self.pace: float | None = None
         self.samples = 0
         self.measured_at = float(0)
 
     def record_success(self) -> None:
-        """Note a whole answer."""
+        """Record a complete answer: the upstream is usable again."""
         self.failures = 0
-        self.closed_until = 0
+        self.open_until = 0
 
     def record_failure(self, now: float, jitter: float) -> None:
-        """Note a failure; after some in a row the upstream rests."""
+        """Record a failure; enough of them in a row start a backoff.
+
+        The backoff doubles with each further failure; ``jitter``, from 0 to
+        1, is the share of it that is added.
+        """
         self.failures += 1
-        over = self.failures - self._failures_to_open
-        if over >= 0:
-            rest = min(MAX_BACKOFF, FIRST_BACKOFF * 2**over)
-            self.closed_until = now + rest * (1 + jitter)
-
-    def measure(self, seconds: float, now: float) -> None:
-        """Take in the time that one part of an answer took."""
-        if self.pace is None or now - self.measured_at > FORGET_PACE_AFTER:
+        excess = self.failures - self._failures_to_open
+        if excess >= 0:
+            backoff = min(MAX_BACKOFF, FIRST_BACKOFF * 2**excess)
+            self.open_until = now + backoff * (1 + jitter)
+
+    def record_pace(self, seconds: float, now: float) -> None:
+        """Record how many seconds one token of an answer took."""
+        if self.pace is None or now - self.measured_at > MAX_PACE_AGE:
             self.pace = seconds
             self.samples = 0
         self.pace += SMOOTHING * (seconds - self.pace)
@@ -48,35 +56,44 @@
         self.measured_at = now
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether the upstream may be tried."""
-        return now >= self.closed_until
+        """Tell whether the upstream may be tried, i.e. is not backing off."""
+        return now >= self.open_until
 
-    def fresh_pace(self, now: float) -> float | None:
-        """Return the smoothed pace in s, if it is recent and well-founded."""
-        if self.pace is None or now - self.measured_at > FORGET_PACE_AFTER:
+    def recent_pace(self, now: float) -> float | None:
+        """Return the smoothed pace, in seconds per token.
+
+        Return None if the last sample is too old or there are too few.
+        """
+        if self.pace is None or now - self.measured_at > MAX_PACE_AGE:
             return None
-        if self.samples < SAMPLES_TO_JUDGE:
+        if self.samples < MIN_PACE_SAMPLES:
             return None
         return self.pace
 
 
-class Standing(NamedTuple):
-    """How an upstream's pace compares with that of its peers."""
+class RelativePace(NamedTuple):
+    """An upstream's pace, as a multiple of the median of its peers."""
 
     slowness: float
 
     @property
     def is_slow(self) -> bool:
-        """Tell whether it is an outlier among its peers."""
+        """Tell whether the upstream is an outlier among its peers."""
         return self.slowness > SLOW_FACTOR
 
 
-def compare(pace: float | None, peer_paces: Iterable[float | None]) -> Standing:
-    """Compare one pace with those of the peers; unknown is ordinary."""
-    known = [one for one in peer_paces if one is not None]
+def compare_pace(
+    pace: float | None, peer_paces: Iterable[float | None]
+) -> RelativePace:
+    """Compare a pace with those of the peers.
+
+    Unknown peers don't count; if the pace or all peers are unknown, the
+    upstream counts as ordinary (1.0).
+    """
+    known = [peer_pace for peer_pace in peer_paces if peer_pace is not None]
     if pace is None or not known:
-        return Standing(1.0)
-    usual = median(known)
-    if usual <= 0:
-        return Standing(1.0)
-    return Standing(pace / usual)
+        return RelativePace(1.0)
+    median_pace = median(known)
+    if median_pace <= 0:
+        return RelativePace(1.0)
+    return RelativePace(pace / median_pace)
--- a/gentiantrestle/daemon/upstreams/leaving.py
+++ b/gentiantrestle/daemon/upstreams/leaving.py
@@ -1,25 +1,28 @@
-"""Marks of leaving upstreams, whatever source they come from; no I/O."""
+"""Upstreams that are leaving, from whatever source this is known; no I/O."""
 
 
-class LeavingMarks:
-    """A mark sticks until a newer incarnation of the upstream appears."""
+class LeavingUpstreams:
+    """The set of leaving upstreams.
+
+    A name stays in it until a newer incarnation of the upstream is live.
+    """
 
     def __init__(self) -> None:
-        """Start without marks."""
-        self._marks: dict[str, int] = {}
+        """Start empty."""
+        self._incarnations: dict[str, int] = {}
 
     def __contains__(self, name: str) -> bool:
         """Tell whether an upstream is leaving."""
-        return name in self._marks
+        return name in self._incarnations
 
-    def mark(self, name: str, incarnation: int) -> bool:
-        """Mark an incarnation as leaving; tell whether that is news."""
-        known = self._marks.get(name)
-        self._marks[name] = max(incarnation, known or 0)
-        return known is None
+    def add(self, name: str, incarnation: int) -> bool:
+        """Add an incarnation; return False if the name was in the set."""
+        marked = self._incarnations.get(name)
+        self._incarnations[name] = max(incarnation, marked or 0)
+        return marked is None
 
-    def clear(self, name: str, incarnation: int) -> None:
-        """Take a live incarnation in; only a newer one clears a mark."""
-        known = self._marks.get(name)
-        if known is not None and incarnation > known:
-            self._marks.pop(name)
+    def clear_if_newer(self, name: str, incarnation: int) -> None:
+        """Remove an upstream if this live incarnation is a newer one."""
+        marked = self._incarnations.get(name)
+        if marked is not None and incarnation > marked:
+            self._incarnations.pop(name)
--- a/gentiantrestle/daemon/upstreams/loads.py
+++ b/gentiantrestle/daemon/upstreams/loads.py
@@ -1,4 +1,4 @@
-"""How much each instance has in flight, told between instances at once."""
+"""Exchange of load reports: what each instance has in flight."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,52 +12,60 @@
 from gentiantrestle.wire.peer.ttypes import Load as WireLoad
 
 PUBLISH_PERIOD = 0.01  # seconds
-QUIET_BEATS = 3
+UNCERTAIN_AFTER_BEATS = 3
 
 
 class OnlinePressure(NamedTuple):
-    """Online requests on an upstream, and instances in doubt."""
+    """Online load of an upstream, and how far it is unknown.
+
+    ``online`` counts requests in flight; ``uncertain_instances`` those
+    instances whose load may not be included.
+    """
 
     online: int
     uncertain_instances: int
 
 
-class Report(NamedTuple):
-    """Loads that an instance told of itself, and when they came, in s."""
+class ReceivedReport(NamedTuple):
+    """An instance's own loads, and the local time they were received."""
 
-    at: float
+    received_at: float
     loads: tuple[Load, ...]
 
 
-class Loads:
-    """The loads of the other instances, and the own one to tell."""
+class LoadExchange:
+    """Publishes this instance's loads and collects those of the others."""
 
     def __init__(self, ctx: Context, membership: Membership) -> None:
-        """Take reports from peers."""
+        """Register for the load reports of peers."""
         self._ctx = ctx
         self._membership = membership
-        self._reports: dict[str, Report] = {}
+        self._reports: dict[str, ReceivedReport] = {}
         self._changed = asyncio.Event()
         self._listeners: list[Callable[[str], None]] = []
-        membership.answer('load_report', self._take_report)
+        membership.answer('load_report', self._receive_report)
 
-    def add_listener(self, heed: Callable[[str], None]) -> None:
-        """Call ``heed`` with each upstream whose load has changed."""
-        self._listeners.append(heed)
+    def add_listener(self, callback: Callable[[str], None]) -> None:
+        """Call ``callback`` with the upstream's name on each load change."""
+        self._listeners.append(callback)
 
-    def note(self, upstream: str) -> None:
-        """Note that the online load on an upstream has changed."""
+    def notify_change(self, upstream: str) -> None:
+        """Signal that this instance's online load on an upstream changed."""
         self._changed.set()
-        for heed in self._listeners:
-            heed(upstream)
+        for callback in self._listeners:
+            callback(upstream)
 
-    async def wait(self) -> None:
-        """Wait for the next change of the own load."""
+    async def wait_for_change(self) -> None:
+        """Wait until this instance's load has changed."""
         await self._changed.wait()
         self._changed.clear()
 
-    async def tell(self, loads: tuple[Load, ...], owners: set[str]) -> None:
-        """Tell the own load to all by heartbeat, to the owners at once."""
+    async def publish(self, loads: tuple[Load, ...], owners: set[str]) -> None:
+        """Publish this instance's loads.
+
+        All instances get them with the next heartbeat, and the owners of
+        batch slots, which preempt on online load, also at once.
+        """
         self._membership.view.say(loads=loads)
         if not owners:
             return
@@ -67,27 +75,34 @@
         )
         await asyncio.gather(*(self._send(name, report) for name in owners))
 
-    def totals(self, now: float) -> dict[str, Load]:
-        """Add up the loads that the other live instances told of."""
+    def remote_totals(self, now: float) -> dict[str, Load]:
+        """Add up the loads of the other live instances, by upstream."""
         totals: dict[str, Load] = {}
         for member in self._membership.view.alive(now):
             if member.instance != self._ctx.cfg.instance:
-                for load in self._loads_of(member, now):
+                for load in self._latest_loads(member, now):
                     _add(totals, load)
         return totals
 
-    def doubtful(self, now: float) -> int:
-        """Count the instances of the zone that may have unseen load."""
+    def uncertain_instances(self, now: float) -> int:
+        """Count the instances of the zone whose load may be out of date.
+
+        These have been silent for several heartbeats, and not for so long
+        that they can be taken to be gone.
+        """
         return self._membership.view.doubtful(
             now,
             self._ctx.cfg.zone,
-            QUIET_BEATS * self._ctx.cfg.heartbeat,
+            UNCERTAIN_AFTER_BEATS * self._ctx.cfg.heartbeat,
         )
 
-    def _loads_of(self, member: Member, now: float) -> tuple[Load, ...]:
-        """Prefer what the member itself told lately over its heartbeat."""
+    def _latest_loads(self, member: Member, now: float) -> tuple[Load, ...]:
+        """Prefer a member's recent load report over its heartbeat."""
         report = self._reports.get(member.instance)
-        if report is not None and now - report.at < self._ctx.cfg.heartbeat:
+        if (
+            report is not None
+            and now - report.received_at < self._ctx.cfg.heartbeat
+        ):
             return report.loads
         return member.loads
 
@@ -102,16 +117,16 @@
             await asyncio.sleep(PUBLISH_PERIOD)
             self._changed.set()
 
-    async def _take_report(self, envelope: Envelope) -> Envelope:
+    async def _receive_report(self, envelope: Envelope) -> Envelope:
         report = envelope.load_report
         loads = tuple(
             Load(load.upstream, load.online, load.batch)
             for load in report.loads
         )
-        self._reports[report.instance] = Report(self._ctx.now(), loads)
+        self._reports[report.instance] = ReceivedReport(self._ctx.now(), loads)
         for load in loads:
-            for heed in self._listeners:
-                heed(load.upstream)
+            for callback in self._listeners:
+                callback(load.upstream)
         return Envelope(load_report=LoadReport(instance='', loads=[]))
 
 
--- a/gentiantrestle/daemon/upstreams/service.py
+++ b/gentiantrestle/daemon/upstreams/service.py
@@ -1,4 +1,4 @@
-"""Keep what is known of each upstream, and their connections."""
+"""The supervised child that tracks the state of all upstreams."""
 
 import asyncio
 from typing import Any, TypedDict
@@ -10,11 +10,11 @@
 from gentiantrestle.daemon.membership.rendezvous import owner
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.membership.view import Load
-from gentiantrestle.daemon.upstreams.health import Health, compare
-from gentiantrestle.daemon.upstreams.leaving import LeavingMarks
+from gentiantrestle.daemon.upstreams.health import Health, compare_pace
+from gentiantrestle.daemon.upstreams.leaving import LeavingUpstreams
 from gentiantrestle.daemon.upstreams.loads import (
     PUBLISH_PERIOD,
-    Loads,
+    LoadExchange,
     OnlinePressure,
 )
 from gentiantrestle.daemon.upstreams.routing import Candidate, Snapshot
@@ -23,14 +23,17 @@
 
 CONNECT_TIMEOUT = 1.0  # seconds
 POOL_SIZE = 512
-LIVE = 'live/'
+LIVE_PREFIX = 'live/'
 
 
 class Upstream:
-    """One upstream: requests in flight, health and connections."""
+    """An upstream's health, connections, and load from this instance.
+
+    ``online`` and ``batch`` count requests in flight.
+    """
 
     def __init__(self, name: str, address: Address) -> None:
-        """Start idle."""
+        """Start idle and healthy; connections are opened when needed."""
         self.name = name
         self.online = 0
         self.batch = 0
@@ -39,7 +42,7 @@
 
 
 class UpstreamStatus(TypedDict):
-    """An upstream as operators see it."""
+    """An upstream's state as shown to operators."""
 
     upstream: str
     zone: str
@@ -51,7 +54,7 @@
 
 
 class UpstreamRegistry:
-    """The child that knows all upstreams of the configuration."""
+    """Tracks the state of all upstreams of the configuration."""
 
     def __init__(
         self,
@@ -59,45 +62,50 @@
         configuration: Configuration,
         membership: Membership,
     ) -> None:
-        """Follow the live lists."""
+        """Start without state; follow the zones' lists of live upstreams."""
         self._ctx = ctx
         self._configuration = configuration
         self._view = membership.view
         self._upstreams: dict[str, Upstream] = {}
         self._regions: dict[str, str] = {}
-        self.loads = Loads(ctx, membership)
-        self.leaving = LeavingMarks()
-        configuration.mirror.listen(LIVE, self._take_live)
+        self.loads = LoadExchange(ctx, membership)
+        self.leaving = LeavingUpstreams()
+        configuration.mirror.listen(LIVE_PREFIX, self._apply_live_list)
 
     async def run(self) -> None:
-        """Tell the owners of batch slots of the own load until cancelled."""
+        """Publish this instance's loads on each change until cancelled."""
         while True:
-            await self.loads.wait()
+            await self.loads.wait_for_change()
             now = self._ctx.now()
-            in_use = [
+            active = [
                 upstream
                 for upstream in self._upstreams.values()
                 if upstream.online or upstream.batch
             ]
             owners = {self.batch_owner(name, now) for name in self._upstreams}
-            await self.loads.tell(
-                tuple(Load(one.name, one.online, one.batch) for one in in_use),
+            await self.loads.publish(
+                tuple(
+                    Load(busy.name, busy.online, busy.batch) for busy in active
+                ),
                 owners - {None, self._ctx.cfg.instance},
             )
             await asyncio.sleep(PUBLISH_PERIOD)
 
     def settings(self, name: str) -> UpstreamDoc | None:
-        """Return the configuration's settings of an upstream."""
+        """Return an upstream's settings, or None if it is not configured."""
         return self._configuration.fleet['upstreams'].get(name)
 
     def find(self, name: str) -> Upstream:
-        """Return the state of an upstream of the configuration."""
+        """Return the state of a configured upstream.
+
+        The state starts afresh when the address in the configuration changes.
+        """
         address = Address.parse(self.settings(name)['address'])
-        known = self._upstreams.get(name)
-        if known is None or known.pool.address != address:
-            known = Upstream(name, address)
-            self._upstreams[name] = known
-        return known
+        upstream = self._upstreams.get(name)
+        if upstream is None or upstream.pool.address != address:
+            upstream = Upstream(name, address)
+            self._upstreams[name] = upstream
+        return upstream
 
     def snapshot(
         self,
@@ -106,14 +114,17 @@
         prompt: str,
         excluded: frozenset[str],
     ) -> Snapshot:
-        """Gather what a routing policy needs for an online request."""
-        others = self.loads.totals(now)
+        """Collect what a routing policy needs to route an online request.
+
+        ``excluded`` names the upstreams that are left out.
+        """
+        remote_loads = self.loads.remote_totals(now)
         paces = {
-            name: self.find(name).health.fresh_pace(now)
+            name: self.find(name).health.recent_pace(now)
             for name in deployment['upstreams']
         }
         candidates = [
-            self._candidate(name, others, paces, now)
+            self._build_candidate(name, remote_loads, paces, now)
             for name in deployment['upstreams']
             if name not in excluded
         ]
@@ -131,8 +142,12 @@
             self.settings(name)['slots'] for name in deployment['upstreams']
         )
 
-    def share(self, name: str, now: float) -> int:
-        """Return the slots of an upstream that this instance may count on."""
+    def local_share(self, name: str, now: float) -> int:
+        """Return how many slots of an upstream this instance may always use.
+
+        The live instances of the upstream's zone share them evenly; those of
+        other zones get none.
+        """
         settings = self.settings(name)
         if settings['zone'] != self._ctx.cfg.zone:
             return 0
@@ -140,7 +155,11 @@
         return settings['slots'] // max(1, len(names))
 
     def batch_owner(self, name: str, now: float) -> str | None:
-        """Name the instance that alone may send batch work upstream."""
+        """Return the one instance that may send batch work to an upstream.
+
+        Return None if the upstream is not configured or its zone has no live
+        instance.
+        """
         settings = self.settings(name)
         if settings is None:
             return None
@@ -148,11 +167,13 @@
         return owner(f'slots/{name}', names)
 
     def online_pressure(self, name: str, now: float) -> OnlinePressure:
-        """Tell how online uses an upstream, seen by its batch owner."""
-        told = self.loads.totals(now).get(name)
-        others = told.online if told else 0
-        own = self.find(name).online
-        return OnlinePressure(own + others, self.loads.doubtful(now))
+        """Return the online load of an upstream, for its batch owner."""
+        remote = self.loads.remote_totals(now).get(name)
+        remote_online = remote.online if remote else 0
+        local_online = self.find(name).online
+        return OnlinePressure(
+            local_online + remote_online, self.loads.uncertain_instances(now)
+        )
 
     def is_usable(self, name: str, now: float) -> bool:
         """Tell whether an upstream may get new work."""
@@ -160,12 +181,12 @@
         return healthy and name not in self.leaving
 
     def mark_leaving(self, name: str, incarnation: int) -> None:
-        """Give an upstream no new work until a newer incarnation comes."""
-        if self.leaving.mark(name, incarnation):
+        """Give an upstream no new work until a newer incarnation is live."""
+        if self.leaving.add(name, incarnation):
             events.emit(events.UPSTREAM_LEAVING, upstream=name)
 
     def describe(self, now: float) -> list[UpstreamStatus]:
-        """Show what is known of each upstream."""
+        """Return the status of each configured upstream, for operators."""
         return [
             UpstreamStatus(
                 upstream=name,
@@ -179,44 +200,44 @@
             for name, settings in self._configuration.fleet['upstreams'].items()
         ]
 
-    def _candidate(
+    def _build_candidate(
         self,
         name: str,
-        others: dict[str, Load],
+        remote_loads: dict[str, Load],
         paces: dict[str, float | None],
         now: float,
     ) -> Candidate:
         settings = self.settings(name)
         upstream = self.find(name)
-        told = others.get(name, Load(name, 0, 0))
+        remote = remote_loads.get(name, Load(name, 0, 0))
         peers = [pace for peer, pace in paces.items() if peer != name]
         return Candidate(
             upstream=name,
             zone=settings['zone'],
             region=self._region_of(settings['zone']),
             slots=settings['slots'],
-            own=upstream.online,
-            others=told.online,
-            batch=upstream.batch + told.batch,
-            share=self.share(name, now),
-            slowness=compare(paces[name], peers).slowness,
+            local_online=upstream.online,
+            remote_online=remote.online,
+            batch=upstream.batch + remote.batch,
+            share=self.local_share(name, now),
+            slowness=compare_pace(paces[name], peers).slowness,
             usable=self.is_usable(name, now),
         )
 
     def _region_of(self, zone: str) -> str:
-        """Learn a zone's region from the live list, else from members."""
-        known = self._regions.get(zone)
-        if known:
-            return known
+        """Return a zone's region by its live list, else by its members."""
+        region = self._regions.get(zone)
+        if region:
+            return region
         return self._view.region_of(zone)
 
-    def _take_live(self, copied: Copied) -> None:
+    def _apply_live_list(self, copied: Copied) -> None:
         document: dict[str, Any] = copied.document or {}
-        zone = copied.name.removeprefix(LIVE)
+        zone = copied.name.removeprefix(LIVE_PREFIX)
         self._regions[zone] = document.get('region', '')
         for name, entry in document.get('upstreams', {}).items():
             incarnation = entry.get('incarnation', 0)
             if entry['state'] == 'leaving':
                 self.mark_leaving(name, incarnation)
             else:
-                self.leaving.clear(name, incarnation)
+                self.leaving.clear_if_newer(name, incarnation)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: waiting requests go in turn, and none is forgotten."""
+"""Admission: order of queued requests, refusals and released slots."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from gentiantrestle.config import Settings
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.online.admission import Admission, Wanted
+from gentiantrestle.daemon.online.admission import Admission, SlotRequest
 from gentiantrestle.daemon.upstreams.routing import Candidate, Snapshot
 from gentiantrestle.daemon.upstreams.service import Upstream
 from gentiantrestle.errors import RefusedError
@@ -15,26 +15,26 @@
 DEPLOYMENT = DeploymentDoc(model='m', version='1', upstreams=['u'])
 
 
-class Loads:
-    """Hears of changes and does nothing."""
+class NullLoadExchange:
+    """Ignores load changes."""
 
-    def note(self, name: str) -> None:
-        """Heed no change."""
+    def notify_change(self, name: str) -> None:
+        """Do nothing."""
 
 
-class OneUpstream:
-    """A fleet of one upstream with a number of slots."""
+class SingleUpstreamRegistry:
+    """A registry of one upstream with the given number of slots."""
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self.loads = Loads()
+        self.loads = NullLoadExchange()
         self.upstream = Upstream('u', Address('127.0.0.1', 1))
 
     def find(self, name: str) -> Upstream:
         """Return the upstream."""
         return self.upstream
 
-    def share(self, name: str, now: float) -> int:
+    def local_share(self, name: str, now: float) -> int:
         """Return all slots."""
         return self.slots
 
@@ -49,10 +49,12 @@
         prompt: str,
         excluded: frozenset[str],
     ) -> Snapshot:
-        """Show the upstream as it is."""
-        own = self.upstream.online
-        one = Candidate('u', 'a', 'r', self.slots, own, 0, 0, 0, 1, usable=True)
-        return Snapshot([one], 'a', 'r')
+        """Return a snapshot of the upstream as the only candidate."""
+        local_online = self.upstream.online
+        candidate = Candidate(
+            'u', 'a', 'r', self.slots, local_online, 0, 0, 0, 1, usable=True
+        )
+        return Snapshot([candidate], 'a', 'r')
 
 
 def _admission(slots: int, **settings: str) -> Admission:
@@ -66,46 +68,46 @@
         },
         {},
     )
-    return Admission(Context.from_config(cfg), OneUpstream(slots))
+    return Admission(Context.from_config(cfg), SingleUpstreamRegistry(slots))
 
 
-async def test_every_client_is_tried_when_one_is_over_its_share() -> None:
-    """The loud one holds its share; the quiet one gets the free slot."""
+async def test_dispatch_skips_a_client_at_its_limit() -> None:
+    """The freed slot goes to the other client, although it queued later."""
     admission = _admission(4)
-    loud = Wanted('loud', DEPLOYMENT)
-    quiet = Wanted('quiet', DEPLOYMENT)
-    held = [await admission.enter(loud) for _ in range(4)]
-    waiting = asyncio.create_task(admission.enter(loud))
+    busy = SlotRequest('busy', DEPLOYMENT)
+    light = SlotRequest('light', DEPLOYMENT)
+    held = [await admission.acquire(busy) for _ in range(4)]
+    busy_waiting = asyncio.create_task(admission.acquire(busy))
     await asyncio.sleep(0)
-    heard = asyncio.create_task(admission.enter(quiet))
+    light_waiting = asyncio.create_task(admission.acquire(light))
     await asyncio.sleep(0)
     assert admission.waiting == 2
-    admission.leave('loud', held.pop(), 1)
-    await heard
-    assert not waiting.done()
-    admission.leave('loud', held.pop(), 1)
-    await waiting
+    admission.release('busy', held.pop(), 1)
+    await light_waiting
+    assert not busy_waiting.done()
+    admission.release('busy', held.pop(), 1)
+    await busy_waiting
     assert admission.waiting == 0
 
 
-async def test_a_wait_ends_as_not_run() -> None:
+async def test_wait_beyond_queue_wait_is_refused_as_overloaded() -> None:
     admission = _admission(1, queue_wait='0.05')
-    wanted = Wanted('c', DEPLOYMENT)
-    await admission.enter(wanted)
+    slot_request = SlotRequest('c', DEPLOYMENT)
+    await admission.acquire(slot_request)
     with pytest.raises(RefusedError) as caught:
-        await admission.enter(wanted)
+        await admission.acquire(slot_request)
     assert caught.value.refusal.kind.name == 'overloaded'
     assert caught.value.refusal.retry_after
     assert admission.waiting == 0
 
 
-async def test_a_caller_that_leaves_gives_its_slot_back() -> None:
+async def test_cancelled_wait_releases_an_assigned_slot() -> None:
     admission = _admission(1)
-    wanted = Wanted('c', DEPLOYMENT)
-    held = await admission.enter(wanted)
-    waiting = asyncio.create_task(admission.enter(wanted))
+    slot_request = SlotRequest('c', DEPLOYMENT)
+    held = await admission.acquire(slot_request)
+    waiting = asyncio.create_task(admission.acquire(slot_request))
     await asyncio.sleep(0)
-    admission.leave('c', held, 1)
+    admission.release('c', held, 1)
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     assert held.online == 0
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -1,11 +1,15 @@
-"""Routing, limits, retries and batch slots under stale and missing news."""
+"""Decision code of online requests, upstreams and batch slots, without I/O."""
 
 import pytest
 
 from gentiantrestle.daemon.batch.caps import BatchCap, target_cap
 from gentiantrestle.daemon.online.admission import expected_wait
-from gentiantrestle.daemon.online.claims import Claim, Move, decide
-from gentiantrestle.daemon.online.clients import ClientShares
+from gentiantrestle.daemon.online.claims import (
+    Claim,
+    ClaimAction,
+    resolve_claim,
+)
+from gentiantrestle.daemon.online.client_shares import ClientShares
 from gentiantrestle.daemon.online.hedging import HedgeRule
 from gentiantrestle.daemon.online.queue import FairQueue, Ticket
 from gentiantrestle.daemon.online.retries import (
@@ -13,14 +17,14 @@
     RetryBudget,
     Stage,
     Verdict,
-    judge,
+    classify_failure,
 )
 from gentiantrestle.daemon.upstreams.adapter import (
+    StreamMonitor,
     TokenStreamReader,
-    WholeStream,
 )
-from gentiantrestle.daemon.upstreams.health import Health, compare
-from gentiantrestle.daemon.upstreams.leaving import LeavingMarks
+from gentiantrestle.daemon.upstreams.health import Health, compare_pace
+from gentiantrestle.daemon.upstreams.leaving import LeavingUpstreams
 from gentiantrestle.daemon.upstreams.loads import OnlinePressure
 from gentiantrestle.daemon.upstreams.routing import (
     POLICIES,
@@ -32,14 +36,14 @@
 SLOTS = 16
 
 
-def _one(name: str, **changes: object) -> Candidate:
+def _candidate(name: str, **changes: object) -> Candidate:
     fields = {
         'upstream': name,
         'zone': 'a1',
         'region': 'a',
         'slots': SLOTS,
-        'own': 0,
-        'others': 0,
+        'local_online': 0,
+        'remote_online': 0,
         'batch': 0,
         'share': 5,
         'slowness': 1.0,
@@ -48,8 +52,8 @@
     return Candidate(**{**fields, **changes})
 
 
-FULL = {'own': SLOTS}
-BROKEN = {'usable': False}
+FULL = {'local_online': SLOTS}
+UNUSABLE = {'usable': False}
 
 
 @pytest.mark.parametrize('name', sorted(POLICIES))
@@ -57,25 +61,31 @@
     ('candidates', 'expected'),
     [
         ([], 'no_upstream'),
-        ([_one('x', **BROKEN)], 'no_upstream'),
-        ([_one('x', **FULL)], 'overloaded'),
-        ([_one('x', **FULL), _one('y')], 'y'),
-        ([_one('x', **BROKEN), _one('y')], 'y'),
-        ([_one('x', zone='a2'), _one('y')], 'y'),
-        ([_one('x', zone='a2'), _one('y', **FULL)], 'x'),
+        ([_candidate('x', **UNUSABLE)], 'no_upstream'),
+        ([_candidate('x', **FULL)], 'overloaded'),
+        ([_candidate('x', **FULL), _candidate('y')], 'y'),
+        ([_candidate('x', **UNUSABLE), _candidate('y')], 'y'),
+        ([_candidate('x', zone='a2'), _candidate('y')], 'y'),
+        ([_candidate('x', zone='a2'), _candidate('y', **FULL)], 'x'),
+        (
+            [
+                _candidate('other_region', zone='b1', region='b'),
+                _candidate('same_region', zone='a2'),
+                _candidate('same_zone', **UNUSABLE),
+            ],
+            'same_region',
+        ),
         (
             [
-                _one('far', zone='b1', region='b'),
-                _one('near', zone='a2'),
-                _one('own', **BROKEN),
+                _candidate('other_region', zone='b1', region='b'),
+                _candidate('same_zone', **FULL),
             ],
-            'near',
+            'other_region',
         ),
-        ([_one('far', zone='b1', region='b'), _one('own', **FULL)], 'far'),
-        ([_one('x', slowness=10.0)], 'x'),
+        ([_candidate('x', slowness=10.0)], 'x'),
     ],
 )
-def test_every_policy_stays_in_reach(
+def test_every_policy_chooses_the_nearest_free_upstream(
     name: str,
     candidates: list[Candidate],
     expected: str,
@@ -91,13 +101,15 @@
 @pytest.mark.parametrize(
     ('better', 'worse'),
     [
-        (_one('b'), _one('a', own=1)),
-        (_one('b'), _one('a', batch=4)),
-        (_one('b', own=2), _one('a', slowness=3.0)),
-        (_one('b', others=2), _one('a', own=3)),
+        (_candidate('b'), _candidate('a', local_online=1)),
+        (_candidate('b'), _candidate('a', batch=4)),
+        (_candidate('b', local_online=2), _candidate('a', slowness=3.0)),
+        (_candidate('b', remote_online=2), _candidate('a', local_online=3)),
     ],
 )
-def test_least_cost_prefers(better: Candidate, worse: Candidate) -> None:
+def test_least_cost_prefers_the_less_loaded_or_faster_upstream(
+    better: Candidate, worse: Candidate
+) -> None:
     snapshot = Snapshot([worse, better], 'a1', 'a')
     assert POLICIES['least_cost'](snapshot, 0) == better.upstream
 
@@ -113,23 +125,23 @@
         (10, [], False),
     ],
 )
-def test_slow_is_relative_to_peers(
+def test_upstream_is_slow_relative_to_its_peers(
     pace: float | None,
     peers: list[float | None],
     slow: bool,
 ) -> None:
-    assert compare(pace, peers).is_slow is slow
+    assert compare_pace(pace, peers).is_slow is slow
 
 
-def test_old_measurements_are_forgotten() -> None:
+def test_pace_is_unknown_when_the_last_sample_is_old() -> None:
     health = Health()
-    for at in range(20):
-        health.measure(9, at / 10)
-    assert health.fresh_pace(2)
-    assert health.fresh_pace(20) is None
+    for step in range(20):
+        health.record_pace(9, step / 10)
+    assert health.recent_pace(2)
+    assert health.recent_pace(20) is None
 
 
-def test_failing_upstream_rests_longer_each_time() -> None:
+def test_backoff_grows_with_each_failure_until_a_success() -> None:
     health = Health()
     for _ in range(2):
         health.record_failure(0, 0)
@@ -157,7 +169,7 @@
         (Stage.ANSWERING, False, 1, True, Verdict.CUT),
     ],
 )
-def test_what_follows_a_failure(
+def test_classify_failure(
     stage: Stage,
     repeatable: bool,
     attempts: int,
@@ -165,40 +177,40 @@
     verdict: Verdict,
 ) -> None:
     failure = Failure(stage, repeatable, attempts)
-    assert judge(failure, within_budget=budget) is verdict
+    assert classify_failure(failure, within_budget=budget) is verdict
 
 
-def test_an_outage_is_not_multiplied() -> None:
+def test_retry_budget_limits_retries_during_an_outage() -> None:
     budget = RetryBudget()
     retried = 0
     for _ in range(1000):
-        budget.note_request(0)
-        retried += budget.take(0)
+        budget.record_request(0)
+        retried += budget.try_spend(0)
     assert retried <= 0.2 * 1000 + 10
-    assert budget.take(60)
+    assert budget.try_spend(60)
 
 
-def test_clients_take_turns_in_the_queue() -> None:
+def test_queue_serves_clients_in_turn() -> None:
     queue = FairQueue(10)
-    for token in range(5):
-        queue.push(Ticket('loud', 9, token))
-    queue.push(Ticket('quiet', 9, 'q'))
+    for index in range(5):
+        queue.push(Ticket('busy', 9, index))
+    queue.push(Ticket('light', 9, 'q'))
     order = [queue.pop(0).client for _ in range(3)]
-    assert order == ['loud', 'quiet', 'loud']
+    assert order == ['busy', 'light', 'busy']
 
 
-def test_a_full_queue_makes_room_for_the_quiet() -> None:
+def test_full_queue_evicts_the_newest_request_of_the_longest_client() -> None:
     queue = FairQueue(3)
-    for token in range(3):
-        queue.push(Ticket('loud', 9, token))
-    assert isinstance(queue.push(Ticket('loud', 9, 3)), Refusal)
-    evicted = queue.push(Ticket('quiet', 9, 'q'))
-    assert evicted.token == 2
+    for index in range(3):
+        queue.push(Ticket('busy', 9, index))
+    assert isinstance(queue.push(Ticket('busy', 9, 3)), Refusal)
+    evicted = queue.push(Ticket('light', 9, 'q'))
+    assert evicted.payload == 2
     assert len(queue) == 3
 
 
 @pytest.mark.parametrize(
-    ('own', 'others', 'share', 'free'),
+    ('local_online', 'remote_online', 'share', 'free_slots'),
     [
         (0, 0, 5, 16),
         (4, 12, 5, 1),
@@ -208,30 +220,32 @@
         (0, 15, 0, 1),
     ],
 )
-def test_the_last_slots_are_not_taken_twice(
-    own: int,
-    others: int,
+def test_free_slots_keep_a_margin_beyond_the_share(
+    local_online: int,
+    remote_online: int,
     share: int,
-    free: int,
+    free_slots: int,
 ) -> None:
-    one = _one('x', own=own, others=others, share=share)
-    assert one.free == free
+    candidate = _candidate(
+        'x', local_online=local_online, remote_online=remote_online, share=share
+    )
+    assert candidate.free_slots == free_slots
 
 
-def test_a_flood_leaves_slots_to_others() -> None:
+def test_client_limit_applies_while_another_client_is_active() -> None:
     shares = ClientShares()
-    shares.note('loud', 0)
+    shares.record_request('busy', 0)
     for _ in range(8):
-        shares.enter('loud')
-    assert not shares.is_over('loud', 8, 0)
-    shares.note('quiet', 0)
-    assert shares.is_over('loud', 8, 0)
-    assert not shares.is_over('quiet', 8, 0)
-    assert not shares.is_over('loud', 8, 11)
-    shares.leave('loud')
-    shares.leave('loud')
-    shares.leave('loud')
-    assert not shares.is_over('loud', 8, 0)
+        shares.acquire('busy')
+    assert not shares.is_at_limit('busy', 8, 0)
+    shares.record_request('light', 0)
+    assert shares.is_at_limit('busy', 8, 0)
+    assert not shares.is_at_limit('light', 8, 0)
+    assert not shares.is_at_limit('busy', 8, 11)
+    shares.release('busy')
+    shares.release('busy')
+    shares.release('busy')
+    assert not shares.is_at_limit('busy', 8, 0)
 
 
 @pytest.mark.parametrize(
@@ -244,7 +258,7 @@
         (0.1, 'p' * 5000, True, None),
     ],
 )
-def test_when_to_hedge(
+def test_hedge_delay(
     start: float | None,
     prompt: str,
     repeatable: bool,
@@ -252,16 +266,16 @@
 ) -> None:
     rule = HedgeRule()
     if start is not None:
-        rule.note_start(start)
-    found = rule.delay(prompt, repeatable=repeatable)
-    assert found == delay or found == pytest.approx(delay)
+        rule.record_start(start)
+    found_delay = rule.delay(prompt, repeatable=repeatable)
+    assert found_delay == delay or found_delay == pytest.approx(delay)
 
 
-def test_late_tickets_are_dropped() -> None:
+def test_queue_drops_tickets_past_their_deadline() -> None:
     queue = FairQueue(3)
     queue.push(Ticket('c', 1, 'late'))
     queue.push(Ticket('c', 9, 'good'))
-    assert queue.pop(5).token == 'good'
+    assert queue.pop(5).payload == 'good'
     assert queue.pop(5) is None
 
 
@@ -274,7 +288,7 @@
 
 
 @pytest.mark.parametrize(
-    ('online', 'silent', 'cap'),
+    ('online', 'uncertain_instances', 'cap'),
     [
         (0, 0, SLOTS),
         (1, 0, 2),
@@ -286,15 +300,15 @@
         (8, 1, 0),
     ],
 )
-def test_batch_gets_what_online_leaves(
+def test_batch_cap_is_what_online_load_leaves(
     online: int,
-    silent: int,
+    uncertain_instances: int,
     cap: int,
 ) -> None:
-    assert target_cap(SLOTS, OnlinePressure(online, silent)) == cap
+    assert target_cap(SLOTS, OnlinePressure(online, uncertain_instances)) == cap
 
 
-def test_batch_yields_at_once_and_grows_after_calm() -> None:
+def test_batch_cap_drops_at_once_and_grows_after_a_calm_period() -> None:
     allowance = BatchCap(SLOTS)
     for step in range(20):
         allowance.update(OnlinePressure(0, 0), step)
@@ -305,8 +319,8 @@
     assert allowance.update(OnlinePressure(0, 0), 20.26) == 4
 
 
-def test_batch_cap_does_not_flap() -> None:
-    """Gaps of 0.1 s between online requests leave the cap where it is."""
+def test_batch_cap_ignores_short_gaps_in_online_load() -> None:
+    """Gaps of 0.1 s between online requests do not raise the cap."""
     allowance = BatchCap(SLOTS)
     caps = []
     for step in range(100):
@@ -318,14 +332,14 @@
 @pytest.mark.parametrize(
     ('found', 'expected'),
     [
-        (('i0', 1, 'same'), Move.WAIT_HERE),
-        (('i1', 1, 'same'), Move.ASK_HOME),
+        (('i0', 1, 'same'), ClaimAction.WAIT_HERE),
+        (('i1', 1, 'same'), ClaimAction.ASK_HOME),
         (('i0', 0, 'same'), 'already_started'),
         (('i0', 1, 'other'), 'idempotency_key_reused'),
         (('i1', 9, 'other'), 'idempotency_key_reused'),
     ],
 )
-def test_what_a_taken_claim_means(
+def test_resolve_claim(
     found: tuple[str, int, str],
     expected: object,
 ) -> None:
@@ -337,32 +351,32 @@
         digest=digest,
         at=0,
     )
-    move = decide(claim, 'same', ('i0', 1))
-    if isinstance(move, Refusal):
-        move = move.kind.name
-    assert move == expected
+    action = resolve_claim(claim, 'same', ('i0', 1))
+    if isinstance(action, Refusal):
+        action = action.kind.name
+    assert action == expected
 
 
-def test_leaving_marks_stick() -> None:
-    marks = LeavingMarks()
-    assert marks.mark('u', 3)
-    assert not marks.mark('u', 2)
-    marks.clear('u', 3)
-    assert 'u' in marks
-    marks.clear('u', 4)
-    assert 'u' not in marks
+def test_upstream_is_leaving_until_a_newer_incarnation_is_live() -> None:
+    leaving = LeavingUpstreams()
+    assert leaving.add('u', 3)
+    assert not leaving.add('u', 2)
+    leaving.clear_if_newer('u', 3)
+    assert 'u' in leaving
+    leaving.clear_if_newer('u', 4)
+    assert 'u' not in leaving
 
 
 @pytest.mark.parametrize('size', [1, 2, 7, 1000])
-def test_a_stream_is_whole_only_with_its_end(size: int) -> None:
+def test_stream_is_complete_only_with_its_end_marker(size: int) -> None:
     event = b'data: {"choices":[{"text":" w1"}]}\n\n'
     sent = event * 3 + b'data: [DONE]\n\n'
-    whole, reader, texts = WholeStream(), TokenStreamReader(), []
-    parts = [sent[at : at + size] for at in range(0, len(sent), size)]
+    monitor, reader, texts = StreamMonitor(), TokenStreamReader(), []
+    parts = [sent[start : start + size] for start in range(0, len(sent), size)]
     for part in parts:
-        assert not whole.is_complete
-        whole.feed(part)
+        assert not monitor.is_complete
+        monitor.feed(part)
         texts += reader.feed(part)
-    assert whole.is_complete
+    assert monitor.is_complete
     assert reader.is_complete
     assert texts == [' w1'] * 3
--- a/tests/decisions/test_race.py
+++ b/tests/decisions/test_race.py
@@ -1,17 +1,17 @@
-"""Attempts side by side: one answer is kept, all else is given back."""
+"""Racing attempts: one answer is used, all others are closed."""
 
 import asyncio
 
 import pytest
 
-from gentiantrestle.daemon.online.race import discard, first_good
+from gentiantrestle.daemon.online.race import cancel_losers, first_success
 from gentiantrestle.http.messages import Response
 
-PATIENCE = 0.05  # seconds
+SECOND_TIMEOUT = 0.05  # seconds
 
 
 class Stream:
-    """An answer that knows whether it was closed."""
+    """An answer body that records whether it was closed."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -36,15 +36,17 @@
 
 
 @pytest.mark.parametrize('second_starts', [True, False])
-async def test_a_late_first_gives_way_to_a_second(second_starts: bool) -> None:
+async def test_second_attempt_wins_if_it_starts_in_time(
+    second_starts: bool,
+) -> None:
     streams = [Stream(), Stream()]
     start = _started() if second_starts else asyncio.Event()
     tasks = [
         asyncio.create_task(_answer(streams[0], _started())),
         asyncio.create_task(_answer(streams[1], start)),
     ]
-    response = await first_good(tasks, PATIENCE)
-    await discard(tasks)
+    response = await first_success(tasks, SECOND_TIMEOUT)
+    await cancel_losers(tasks)
     assert response.body is streams[int(second_starts)]
     assert not response.body.closed
     assert streams[0].closed is second_starts
@@ -52,17 +54,17 @@
 
 
 @pytest.mark.parametrize('failing', [0, 1])
-async def test_a_failure_leaves_the_other(failing: int) -> None:
+async def test_other_attempt_wins_when_one_fails(failing: int) -> None:
     stream = Stream()
     tasks = [asyncio.create_task(_answer(stream, _started()))]
     tasks.insert(failing, asyncio.create_task(_fail()))
-    response = await first_good(tasks, PATIENCE)
-    await discard(tasks)
+    response = await first_success(tasks, SECOND_TIMEOUT)
+    await cancel_losers(tasks)
     assert response.body is stream
 
 
-async def test_two_failures_raise() -> None:
+async def test_failure_is_raised_when_both_attempts_fail() -> None:
     tasks = [asyncio.create_task(_fail()), asyncio.create_task(_fail())]
     with pytest.raises(ConnectionError):
-        await first_good(tasks, PATIENCE)
-    await discard(tasks)
+        await first_success(tasks, SECOND_TIMEOUT)
+    await cancel_losers(tasks)
--- a/tests/processes/test_online.py
+++ b/tests/processes/test_online.py
@@ -1,4 +1,4 @@
-"""Online requests: whole answers, at most once, nothing cut by a stop."""
+"""Online requests against real processes: answers, failures and restarts."""
 
 import asyncio
 import signal
@@ -50,7 +50,7 @@
     )
 
 
-async def test_stream_comes_whole(start_fleet) -> None:
+async def test_stream_and_whole_answer_are_complete(start_fleet) -> None:
     fleet = await start_fleet('a1')
     reply = await _complete(fleet, 0)
     assert reply.status == 200
@@ -60,7 +60,9 @@
     assert whole.json()['choices'][0]['text'] == _text(PROMPT, 5)
 
 
-async def test_each_caller_gets_its_own_answer(start_fleet) -> None:
+async def test_concurrent_callers_get_the_answers_to_their_prompts(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     prompts = [f'note {index}' for index in range(60)]
     replies = await asyncio.gather(
@@ -73,7 +75,7 @@
         assert reply.json()['choices'][0]['text'] == _text(prompt, 5)
 
 
-async def test_cut_stream_ends_with_an_error(start_fleet) -> None:
+async def test_cut_stream_ends_with_an_error_event(start_fleet) -> None:
     fleet = await start_fleet('a1')
     await fleet.control_engine(0, cut_after=2)
     reply = await _complete(fleet, 0)
@@ -83,7 +85,7 @@
     assert b'"run":"unknown"' in reply.body
 
 
-async def test_lost_engine_is_passed_over(start_fleet) -> None:
+async def test_requests_succeed_when_an_engine_is_down(start_fleet) -> None:
     fleet = await start_fleet()
     dead = fleet.engine_process(1)
     await dead.end()
@@ -93,7 +95,9 @@
     assert all(reply.body.endswith(b'[DONE]\n\n') for reply in replies)
 
 
-async def test_resend_runs_once_on_any_instance(start_fleet) -> None:
+async def test_concurrent_resends_to_all_instances_run_once(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     replies = await asyncio.gather(
         *(_quote(fleet, index % 3, 'quote-1') for index in range(6))
@@ -103,7 +107,7 @@
     assert await fleet.service_runs() == {'quote': 1}
 
 
-async def test_key_of_another_body_is_a_conflict(start_fleet) -> None:
+async def test_key_reused_for_another_body_is_a_conflict(start_fleet) -> None:
     fleet = await start_fleet()
     await _quote(fleet, 0, 'key')
     other = await fleet.call(
@@ -117,7 +121,9 @@
     assert other.json()['error']['type'] == 'idempotency_key_reused'
 
 
-async def test_lost_answer_of_a_service_is_unknown(start_fleet) -> None:
+async def test_lost_service_answer_is_reported_as_unknown_and_not_rerun(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     await fleet.control_service(drop=True)
     first = await _quote(fleet, 0, 'key')
@@ -129,7 +135,7 @@
     assert await fleet.service_runs() == {'quote': 1}
 
 
-async def test_home_killed_after_sending_leaves_it_unknown(
+async def test_outcome_is_unknown_when_the_claiming_instance_is_killed(
     start_fleet,
 ) -> None:
     fleet = await start_fleet()
@@ -149,7 +155,9 @@
     assert await fleet.service_runs() == {'quote': 1}
 
 
-async def test_claim_with_a_lost_answer_still_runs_once(start_fleet) -> None:
+async def test_request_runs_once_when_the_claim_answer_is_lost(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     await fleet.fault(lose=1)
     reply = await _quote(fleet, 0, 'key')
@@ -157,7 +165,9 @@
     assert await fleet.service_runs() == {'quote': 1}
 
 
-async def test_outage_refuses_only_what_needs_the_store(start_fleet) -> None:
+async def test_store_outage_refuses_only_requests_with_a_key(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     await fleet.fault(outage=True)
     assert (await _complete(fleet, 0)).status == 200
@@ -169,7 +179,7 @@
     assert (await _quote(fleet, 1, 'key')).status == 200
 
 
-async def test_planned_stop_cuts_no_stream(start_fleet) -> None:
+async def test_planned_stop_completes_running_streams(start_fleet) -> None:
     fleet = await start_fleet(engine_words=('step=0.02',))
     streams = [
         asyncio.create_task(_complete(fleet, 0, f'p{index}', 50))
@@ -187,7 +197,7 @@
     [('a1',) * 3, ('a1', 'a2', 'b1') * 3],
     ids=['three', 'nine'],
 )
-async def test_rolling_restart_under_load_cuts_nothing(
+async def test_rolling_restart_under_load_cuts_no_answer(
     start_fleet,
     zones: tuple[str, ...],
 ) -> None:
@@ -198,11 +208,11 @@
     finished = asyncio.Event()
 
     async def load(worker: int) -> None:
-        turn = worker
+        daemon = worker
         while not finished.is_set():
-            turn = (turn + 1) % size
-            if turn not in stopping:
-                replies.append(await _complete(fleet, turn, f'w{worker}'))
+            daemon = (daemon + 1) % size
+            if daemon not in stopping:
+                replies.append(await _complete(fleet, daemon, f'w{worker}'))
 
     job = (await fleet.submit(0, job_lines(60, 20), 'job')).json()['id']
     workers = [asyncio.create_task(load(worker)) for worker in range(4)]
@@ -230,11 +240,11 @@
         *(_complete(fleet, 0, f'p{index}') for index in range(12))
     )
     assert {reply.status for reply in replies} == {200}
-    marks = {
-        one['upstream']: one['leaving']
-        for one in (await fleet.status(0))['upstreams']
+    leaving = {
+        upstream['upstream']: upstream['leaving']
+        for upstream in (await fleet.status(0))['upstreams']
     }
-    assert marks == {'e0': False, 'e1': True, 'e2': False, 's0': False}
+    assert leaving == {'e0': False, 'e1': True, 'e2': False, 's0': False}
     before = await fleet.engine_refusals(1)
     await asyncio.gather(
         *(_complete(fleet, 0, f'q{index}') for index in range(12))
@@ -242,7 +252,7 @@
     assert await fleet.engine_refusals(1) == before
 
 
-async def test_report_counts_good_and_bad(start_fleet) -> None:
+async def test_report_counts_good_and_bad_answers(start_fleet) -> None:
     fleet = await start_fleet()
     for index in range(6):
         await _complete(fleet, index % 3)
@@ -258,15 +268,15 @@
         reply = await fleet.call(2, 'GET', target, key=OPERATOR_KEY)
         return reply.json() if reply.json()['jobs'] else None
 
-    told = await until(report)
+    found_report = await until(report)
     rows = {
         (row['endpoint'], row['objective'], row['window']): row
-        for row in told['rows']
+        for row in found_report['rows']
     }
     row = rows['chat', 'availability', 300]
     assert (row['good'], row['bad']) == (6, 1)
     assert row['burn'] == pytest.approx(1 / 7 / 0.001)
-    assert [risk['job'] for risk in told['jobs']] == [job]
+    assert [risk['job'] for risk in found_report['jobs']] == [job]
     page = await fleet.call(
         0,
         'GET',
@@ -276,12 +286,12 @@
     assert b'<svg' in page.body
 
 
-async def test_live_list_marks_leaving_until_a_new_incarnation(
+async def test_live_list_marks_leaving_until_a_newer_incarnation(
     start_fleet,
 ) -> None:
     fleet = await start_fleet()
 
-    async def say(state: str, incarnation: int) -> None:
+    async def write_live_list(state: str, incarnation: int) -> None:
         entry = {'state': state, 'incarnation': incarnation}
         await fleet.write_object(
             'live/a1',
@@ -294,16 +304,16 @@
     async def is_leaving(index: int) -> bool:
         status = await fleet.status(index)
         return any(
-            one['leaving']
-            for one in status['upstreams']
-            if one['upstream'] == 'e1'
+            upstream['leaving']
+            for upstream in status['upstreams']
+            if upstream['upstream'] == 'e1'
         )
 
-    await say('leaving', 1)
+    await write_live_list('leaving', 1)
     for index in range(3):
         await until(lambda index=index: is_leaving(index))
-    await say('live', 1)
-    await say('live', 2)
+    await write_live_list('live', 1)
+    await write_live_list('live', 2)
 
     async def is_back(index: int) -> bool:
         return not await is_leaving(index)
