--- a/gentiantrestle/gateway/batch/__init__.py
+++ b/gentiantrestle/gateway/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs of the gateway: accepted once, run anywhere, listed in order."""
+"""Batch jobs of the gateway: accepting, running and reading them."""
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -1,4 +1,4 @@
-"""Callers' calls on batch jobs: hand in, read, fetch a body, end."""
+"""Requests on batch jobs: submit, read results, read a body, end."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,20 +31,23 @@
 
 ACCEPTED = 202
 OK = 200
-MAX_JOB = 1000000  # bytes: what one object of the store holds
-MAX_PAGE = 900000  # characters of output in one answer
-POLL_TIME = 0.25  # seconds between looks at another instance's results
-WAIT_STEP = 0.1  # seconds between looks at own results
-STORE_PAUSE = 0.5  # seconds until a caller comes back to an absent store
-# Share of a quota below which jobs that aren't known here yet don't matter.
-QUOTA_SURE_SHARE = 0.5
-QUOTA_PAUSE = 1.0  # seconds until a caller comes back to a full quota
+MAX_JOB_SIZE = 1000000  # bytes: the store's limit for one object
+MAX_PAGE_SIZE = 900000  # characters of output in one response
+# Between checks for results that another instance may store.
+PEER_POLL_INTERVAL = 0.25  # seconds
+# Between checks for results that only this instance stores.
+LOCAL_POLL_INTERVAL = 0.1  # seconds
+STORE_RETRY_AFTER = 0.5  # seconds, while the store is unavailable
+# Up to this share of a quota only the jobs known here are counted: those not
+# known yet can't use up the rest.
+QUOTA_LOCAL_SHARE = 0.5
+QUOTA_RETRY_AFTER = 1.0  # seconds, while a quota is used up
 JSON_HEADERS = [(b'content-type', b'application/json')]
 BYTES_HEADERS = [(b'content-type', b'application/octet-stream')]
 
 
 class Response(NamedTuple):
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -52,164 +55,194 @@
 
 
 class Submission(NamedTuple):
-    """When, in wall-clock s, and under which version a job is handed in."""
+    """When a job came (wall-clock time in s), and the version in force."""
 
-    wall: float
-    version: int
+    submitted: float
+    config_version: int
 
 
 class JobApi:
-    """Answers calls on batch jobs at any instance."""
+    """Handles requests on batch jobs; any instance can handle any job.
+
+    Methods raise ``RefusedError`` with the response for the client.
+    """
 
     def __init__(
         self,
-        parts: BatchContext,
+        context: BatchContext,
         runner: Runner,
         reader: ResultReader,
         instance: str,
     ) -> None:
-        """Accept jobs in the name of ``instance``, a run's name."""
-        self._index = parts.index
-        self._job_store = parts.job_store
-        self._dialect = parts.dialect
+        """Accept jobs as ``instance``, the name of this instance's run."""
+        self._index = context.index
+        self._job_store = context.job_store
+        self._dialect = context.dialect
         self._runner = runner
         self._reader = reader
         self._instance = instance
         self.on_end: Callable[[str], None] = _ignore
 
     async def submit(
-        self, call: Request, route: Route, terms: Submission
+        self, call: Request, route: Route, submission: Submission
     ) -> Response:
-        """Accept a job once; the store's yes comes before ours."""
+        """Accept a job once the store has it; idempotent by the job's id.
+
+        Refused with ``TOO_LARGE``, ``OVERLOADED`` if the quota is used up,
+        ``STORE_UNAVAILABLE`` if the job was not accepted, and
+        ``UPSTREAM_UNSURE`` if it may have been.
+        """
         if call.id in self._index.entries:
             return _accepted()
         job = Job(
             call.id,
             call.host,
             call.target,
-            terms.wall,
+            submission.submitted,
             self._instance,
             self._dialect.read_items(call.body),
-            terms.version,
+            submission.config_version,
         )
         size = encoded_size(job)
-        if size > MAX_JOB:
+        if size > MAX_JOB_SIZE:
             raise refuse(TOO_LARGE, f'The job takes {size} bytes')
         await self._check_quota(job, route)
         try:
             new = await self._job_store.accept(job)
         except StoreUnavailableError as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
         except StoreUnsureError as exc:
-            raise refuse(UPSTREAM_UNSURE, f'The store: {exc}') from exc
+            raise refuse(
+                UPSTREAM_UNSURE, f'The store did not confirm the job: {exc}'
+            ) from exc
         events.emit(
             events.JOB_ACCEPTED, job=job.id, items=len(job.items), new=new
         )
         self._runner.wake()
         return _accepted()
 
-    async def read_results(self, wanted: ReadResults) -> Response:
-        """Return results from a position on, waiting a little for one."""
-        entry = await self._find(wanted.job)
-        await self._await_results(entry, wanted)
+    async def read_results(self, request: ReadResults) -> Response:
+        """Return a page of results from a position on.
+
+        Waits up to ``request.wait`` s if there is none yet.
+        """
+        entry = await self._find(request.job)
+        await self._await_results(entry, request)
         page = []
         size = 0
-        for one in entry.results[wanted.after :]:
-            size += len(one.output)
-            if page and size > MAX_PAGE:
+        for result in entry.results[request.after :]:
+            size += len(result.output)
+            if page and size > MAX_PAGE_SIZE:
                 break
-            page.append(one)
+            page.append(result)
         total = len(entry.job.items)
-        body = self._dialect.write_results(total, wanted.after, page)
+        body = self._dialect.write_results(total, request.after, page)
         return Response(OK, JSON_HEADERS, body)
 
-    async def read_body(self, wanted: ReadBody) -> Response:
+    async def read_body(self, request: ReadBody) -> Response:
         """Return the body of an item."""
-        entry = await self._find(wanted.job)
-        found = await self._body(entry, wanted.item_id)
-        if found is None:
+        entry = await self._find(request.job)
+        body = await self._load_body(entry, request.item_id)
+        if body is None:
             raise refuse(NOT_FOUND, 'The job has no such item')
-        return Response(OK, BYTES_HEADERS, found)
+        return Response(OK, BYTES_HEADERS, body)
 
-    async def end(self, wanted: CancelJob) -> Response:
-        """End a job for good."""
+    async def end(self, request: CancelJob) -> Response:
+        """End a job permanently: its unfinished items are not run."""
         try:
-            known = await self._job_store.end(wanted.job)
+            known = await self._job_store.end(request.job)
         except (StoreUnavailableError, StoreUnsureError) as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
         if not known:
             raise refuse(NOT_FOUND, 'No such job')
-        events.emit(events.JOB_FINISHED, job=wanted.job, state='ended')
-        self.on_end(wanted.job)
+        events.emit(events.JOB_FINISHED, job=request.job, state='ended')
+        self.on_end(request.job)
         self._runner.wake()
         return Response(OK, JSON_HEADERS, b'{}')
 
-    async def _find(self, job: str) -> JobEntry:
+    async def _find(self, job_id: str) -> JobEntry:
         try:
-            entry = await self._job_store.find(job)
+            entry = await self._job_store.find(job_id)
         except StoreUnavailableError as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
         if entry is None:
             raise refuse(NOT_FOUND, 'No such job')
         return entry
 
-    async def _body(self, entry: JobEntry, wanted: str) -> bytes | None:
-        """Return an item's body; the store keeps those not needed here."""
-        kept = entry.has_bodies
+    async def _load_body(self, entry: JobEntry, item_id: str) -> bytes | None:
+        """Return an item's body; bodies read for this only are dropped."""
+        had_bodies = entry.has_bodies
         try:
-            await self._job_store.load(entry)
+            await self._job_store.load_bodies(entry)
         except StoreUnavailableError as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
-        found = entry.body(wanted)
-        if not kept:
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
+        body = entry.body(item_id)
+        if not had_bodies:
             entry.drop_bodies()
-        return found
+        return body
 
     async def _await_results(
-        self, entry: JobEntry, wanted: ReadResults
+        self, entry: JobEntry, request: ReadResults
     ) -> None:
-        """Wait until a result is known after the position, or time is up."""
+        """Wait for a result after the position, up to ``request.wait`` s."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + wanted.wait
-        while len(entry.results) <= wanted.after and not entry.complete:
-            await self._look(entry)
-            if len(entry.results) > wanted.after or loop.time() >= until:
+        deadline = loop.time() + request.wait
+        while len(entry.results) <= request.after and not entry.complete:
+            await self._refresh(entry)
+            if len(entry.results) > request.after or loop.time() >= deadline:
                 return
-            sure = self._reader.is_sure(entry)
-            await asyncio.sleep(WAIT_STEP if sure else POLL_TIME)
+            current = self._reader.is_current(entry)
+            await asyncio.sleep(
+                LOCAL_POLL_INTERVAL if current else PEER_POLL_INTERVAL
+            )
 
-    async def _look(self, entry: JobEntry) -> None:
+    async def _refresh(self, entry: JobEntry) -> None:
         try:
-            await self._reader.look(entry)
+            await self._reader.refresh(entry)
         except StoreUnavailableError as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
 
     async def _check_quota(self, job: Job, route: Route) -> None:
-        """Refuse a job above the route's tokens, after a fresh look.
+        """Refuse a job that exceeds the route's token quota.
 
-        Far below the quota the jobs known here suffice: what others accept
-        meanwhile can't fill the rest.
+        Far below the quota the jobs known here suffice: what other instances
+        accept meanwhile can't use up the rest. Above that, jobs and results
+        are read anew before a job is refused.
         """
         if not route.max_tokens:
             return
-        if self._fits(job, route, QUOTA_SURE_SHARE):
+        if self._fits(job, route, QUOTA_LOCAL_SHARE):
             return
         await self._relist()
         if self._fits(job, route):
             return
         for entry in self._index.open_entries():
-            await self._look(entry)
+            await self._refresh(entry)
         if self._fits(job, route):
             return
         raise refuse(
-            OVERLOADED, 'The tokens of this route are taken', QUOTA_PAUSE
+            OVERLOADED,
+            'The token quota of this route is used up',
+            QUOTA_RETRY_AFTER,
         )
 
     async def _relist(self) -> None:
         try:
             await self._job_store.relist()
         except StoreUnavailableError as exc:
-            raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
+            raise refuse(
+                STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
+            ) from exc
 
     def _fits(self, job: Job, route: Route, share: float = 1.0) -> bool:
         waiting = self._index.waiting_tokens(job.host, route.prefix)
@@ -220,5 +253,5 @@
     return Response(ACCEPTED, JSON_HEADERS, b'{}')
 
 
-def _ignore(job: str) -> None:
-    """Tell nobody until somebody is set."""
+def _ignore(job_id: str) -> None:
+    """Do nothing until a callback is set."""
--- a/gentiantrestle/gateway/batch/context.py
+++ b/gentiantrestle/gateway/batch/context.py
@@ -1,4 +1,4 @@
-"""What the parts that run batch work share."""
+"""Dependencies that the modules of batch work share."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,14 +13,14 @@
 
 
 class Clock(NamedTuple):
-    """Steady time for pauses, wall-clock time for what is due."""
+    """Monotonic time for intervals, wall-clock time for deadlines; in s."""
 
     now: Callable[[], float]
     wall: Callable[[], float]
 
 
 class BatchContext(NamedTuple):
-    """What batch work is run with."""
+    """Dependencies of batch work."""
 
     index: JobIndex
     job_store: JobStore
--- a/gentiantrestle/gateway/batch/item_progress.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -1,4 +1,4 @@
-"""Runs one item on upstreams until it is whole, dead or cancelled."""
+"""Runs one item on upstreams until it succeeds or fails."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,32 +18,34 @@
 from gentiantrestle.http.link import LinkRefusedError
 
 OK = 200
-NEVER_POSSIBLE = 422
-FAILED = 500
-# A running item makes an event every few tens of ms; one that is silent
-# for this long goes on elsewhere.
-MAX_SILENCE = 3.0  # seconds
+UNPROCESSABLE = 422  # the item can't succeed on any upstream
+RUN_FAILED = 500
+# A running item sends an event every few tens of ms; a run that is silent
+# for this long is ended, and the item runs again from its last event.
+STALL_TIMEOUT = 3.0  # seconds
 
 
-class Finished(NamedTuple):
-    """What came of one run: a result, or nothing yet."""
+class RunOutcome(NamedTuple):
+    """How one run of an item ended; without a result it runs again."""
 
     result: ItemResult | None
     reason: str
 
 
-class ItemRun:
-    """An item's text so far; it outlives the runs that are cut."""
+class ItemProgress:
+    """Output of an item so far; it is kept when a run is cut off."""
 
-    def __init__(self, entry: JobEntry, spec: ItemSpec, attempts: int) -> None:
-        """Allow ``attempts`` answers that say the run failed."""
+    def __init__(
+        self, entry: JobEntry, spec: ItemSpec, max_failures: int
+    ) -> None:
+        """Let the item fail after ``max_failures`` runs with status 500."""
         self.entry = entry
         self.spec = spec
-        self._attempts = attempts
+        self._max_failures = max_failures
         self._failures = 0
         self._texts: list[str] = []
-        self._last = 0
-        self.spent = float(0)
+        self._last_event = 0
+        self.run_time = float(0)
 
     async def run(
         self,
@@ -51,30 +53,33 @@
         placement: Placement,
         dialect: Dialect,
         now: Callable[[], float],
-    ) -> Finished:
-        """Run on from the last event; never raises but on cancellation."""
+    ) -> RunOutcome:
+        """Run the item from its last event on.
+
+        Failures of the upstream are returned; only cancellation is raised.
+        """
         sending = UpstreamConnection(dialect)
         health = placement.health(upstream.id)
         started = now()
         try:
             await sending.connect(upstream)
             reply = await self._start(sending, dialect, upstream)
-            finished = await self._read(sending, reply)
+            outcome = await self._read(sending, reply)
         except (LinkRefusedError, ResponseLostError, TimeoutError) as exc:
             health.record_failure(now(), 0)
-            finished = Finished(None, repr(exc))
+            outcome = RunOutcome(None, repr(exc))
         except EventOrderError as exc:
-            finished = Finished(None, repr(exc))
+            outcome = RunOutcome(None, repr(exc))
         else:
             health.record_success()
         finally:
             sending.close()
-            self.spent += now() - started
-        self._log(upstream, finished)
-        return finished
+            self.run_time += now() - started
+        self._log(upstream, outcome)
+        return outcome
 
-    def give_up(self, reason: str) -> ItemResult:
-        """Return the result of an item that is not run any more."""
+    def fail(self, reason: str) -> ItemResult:
+        """Return the result of an item that won't be run any more."""
         events.emit(events.ITEM_FAILED, item=self.spec.id, error=reason)
         return ItemResult(self.spec.id, completed=False, output='')
 
@@ -89,42 +94,42 @@
             'POST',
             self.spec.path,
             dialect.item_headers(
-                self.spec, self.entry.job.host, upstream, self._last
+                self.spec, self.entry.job.host, upstream, self._last_event
             ),
             self.spec.body,
         )
-        async with asyncio.timeout(MAX_SILENCE):
+        async with asyncio.timeout(STALL_TIMEOUT):
             return await sending.send(message)
 
     async def _read(
         self, sending: UpstreamConnection, reply: Reply
-    ) -> Finished:
+    ) -> RunOutcome:
         if reply.status == OK:
             await self._collect(sending)
             text = '\n'.join(self._texts)
-            return Finished(ItemResult(self.spec.id, True, text), 'whole')
+            return RunOutcome(ItemResult(self.spec.id, True, text), 'whole')
         reason = f'status {reply.status}'
-        if reply.status == NEVER_POSSIBLE:
-            return Finished(self.give_up(reason), reason)
-        if reply.status == FAILED and not reply.not_run:
+        if reply.status == UNPROCESSABLE:
+            return RunOutcome(self.fail(reason), reason)
+        if reply.status == RUN_FAILED and not reply.not_run:
             self._failures += 1
-        if self._failures >= self._attempts:
-            return Finished(self.give_up(reason), reason)
-        return Finished(None, reason)
+        if self._failures >= self._max_failures:
+            return RunOutcome(self.fail(reason), reason)
+        return RunOutcome(None, reason)
 
     async def _collect(self, sending: UpstreamConnection) -> None:
-        splitter = EventSplitter(self._last)
-        async for part in sending.iter_body(MAX_SILENCE):
+        splitter = EventSplitter(self._last_event)
+        async for part in sending.iter_body(STALL_TIMEOUT):
             for event in splitter.feed(part):
                 self._texts.append(event.data)
-                self._last = splitter.last_id
+                self._last_event = splitter.last_id
 
-    def _log(self, upstream: Upstream, finished: Finished) -> None:
+    def _log(self, upstream: Upstream, outcome: RunOutcome) -> None:
         events.emit(
             events.ITEM_RUN_ENDED,
             item=self.spec.id,
             job=self.entry.job.id,
             upstream=upstream.id,
-            reason=finished.reason,
-            last_event=self._last,
+            reason=outcome.reason,
+            last_event=self._last_event,
         )
--- a/gentiantrestle/gateway/batch/job_index.py
+++ b/gentiantrestle/gateway/batch/job_index.py
@@ -1,4 +1,4 @@
-"""What is known of every job: items, results in their order; no I/O."""
+"""In-memory index of batch jobs and their results; no I/O."""
 
 from collections.abc import Iterable, Iterator
 
@@ -7,20 +7,24 @@
 
 
 class JobEntry:
-    """One job and the parts of its results that the store holds."""
+    """One job and those of its stored results that are known here.
+
+    Results are in the order of the store: a result's index in ``results`` is
+    its position for clients, on every instance.
+    """
 
     def __init__(self, record: JobRecord) -> None:
-        """Start without any result known."""
+        """Start without results."""
         self.job: Job = record.job
         self.stored = record.stored
         self.results: list[ItemResult] = []
         self.chunk_count = 0
-        # Whether this process has seen all that the store lists of the job.
-        self.learned = False
-        # Whether no other process can have listed results of the job.
-        self.sole = False
-        self._listed: set[str] = set()
-        # The items with their bodies, where this process has read them.
+        # Whether this process has read all results in the store at least once.
+        self.results_loaded = False
+        # Whether no other process can have stored results of the job.
+        self.sole_writer = False
+        self._stored_ids: set[str] = set()
+        # Items with their bodies; empty while the bodies aren't in memory.
         self._specs: dict[str, ItemSpec] = {}
 
     @property
@@ -31,11 +35,11 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether every item is listed."""
-        return len(self._listed) >= len(self.job.items)
+        """Tell whether every item has a stored result."""
+        return len(self._stored_ids) >= len(self.job.items)
 
     def update(self, record: JobRecord) -> None:
-        """Take in a newer state; an end is never taken back."""
+        """Apply a newer record; an ended or done job stays so."""
         self.stored = record.stored
         self.job = record.job._replace(
             cancelled=record.job.cancelled or self.job.cancelled,
@@ -43,49 +47,52 @@
         )
 
     def end(self) -> None:
-        """Mark the job as ended by its caller."""
+        """Mark the job as ended by its client."""
         self.job = self.job._replace(cancelled=True)
 
-    def append(self, chunk: Iterable[ItemResult]) -> None:
-        """Take in the next part of the results, as the store holds it."""
-        for one in chunk:
-            self.results.append(one)
-            self._listed.add(one.id)
+    def add_chunk(self, chunk: Iterable[ItemResult]) -> None:
+        """Append the next chunk of results that the store holds."""
+        for result in chunk:
+            self.results.append(result)
+            self._stored_ids.add(result.id)
         self.chunk_count += 1
 
     def add_peer_results(self, rows: list[ItemResult], chunks: int) -> None:
-        """Take in results from the instance that runs the job."""
-        self.append(rows)
+        """Append results read from the instance that runs the job.
+
+        ``chunks`` is the number of chunks that instance knows in the store.
+        """
+        self.add_chunk(rows)
         self.chunk_count = max(self.chunk_count - 1, chunks)
 
-    def is_listed(self, wanted: str) -> bool:
-        """Tell whether an item has a position."""
-        return wanted in self._listed
+    def has_result(self, item_id: str) -> bool:
+        """Tell whether an item's result is stored."""
+        return item_id in self._stored_ids
 
-    def unlisted(self) -> Iterator[ItemSpec]:
-        """Pass on the items without a position, in their order."""
+    def unfinished_items(self) -> Iterator[ItemSpec]:
+        """Yield the items without a stored result, in the job's order."""
         return (
             self._specs.get(spec.id, spec)
             for spec in self.job.items
-            if spec.id not in self._listed
+            if spec.id not in self._stored_ids
         )
 
     @property
     def has_bodies(self) -> bool:
-        """Tell whether the items' bodies are known here."""
+        """Tell whether the items' bodies are in memory."""
         return bool(self._specs)
 
-    def load(self, specs: Iterable[ItemSpec]) -> None:
-        """Take in the items with their bodies."""
+    def load_bodies(self, specs: Iterable[ItemSpec]) -> None:
+        """Keep the items with their bodies in memory."""
         self._specs = {spec.id: spec for spec in specs}
 
     def drop_bodies(self) -> None:
-        """Free the bodies; the store keeps them."""
+        """Free the bodies' memory; the store keeps them."""
         self._specs = {}
 
-    def body(self, wanted: str) -> bytes | None:
-        """Return an item's body, or nothing if the job has no such item."""
-        spec = self._specs.get(wanted)
+    def body(self, item_id: str) -> bytes | None:
+        """Return an item's body, or None if it isn't in memory."""
+        spec = self._specs.get(item_id)
         return None if spec is None else spec.body
 
     @property
@@ -93,20 +100,20 @@
         """Sum the tokens of items that may still run."""
         if not self.open:
             return 0
-        return sum(spec.tokens for spec in self.unlisted())
+        return sum(spec.tokens for spec in self.unfinished_items())
 
 
 class JobIndex:
-    """All jobs by id."""
+    """All known jobs by id."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.entries: dict[str, JobEntry] = {}
-        # Of the store: all changes of jobs up to it are known.
+        # Store revision up to which all changes of jobs are known.
         self.revision = 0
 
     def put(self, record: JobRecord) -> JobEntry:
-        """Take in a job as the store holds it."""
+        """Add a job, or update it unless a newer record is known."""
         entry = self.entries.get(record.job.id)
         if entry is None:
             entry = JobEntry(record)
@@ -120,20 +127,23 @@
         """List the jobs whose items may still be run."""
         return [entry for entry in self.entries.values() if entry.open]
 
-    def end(self, job: str) -> None:
-        """Note that a caller has ended a job, if the job is known."""
-        entry = self.entries.get(job)
+    def end(self, job_id: str) -> None:
+        """Mark a job as ended by its client, if the job is known."""
+        entry = self.entries.get(job_id)
         if entry is not None:
             entry.end()
 
-    def note_takeover(self, run: str) -> None:
-        """Note that another instance runs the jobs that ``run`` accepted."""
+    def note_takeover(self, acceptor: str) -> None:
+        """Note that another instance runs the jobs of ``acceptor``.
+
+        ``acceptor`` is the name of one run of an instance.
+        """
         for entry in self.entries.values():
-            if entry.job.acceptor == run:
-                entry.sole = False
+            if entry.job.acceptor == acceptor:
+                entry.sole_writer = False
 
     def waiting_tokens(self, host: str, prefix: str) -> int:
-        """Sum the tokens that wait on a route."""
+        """Sum the tokens of unfinished items on a route."""
         return sum(
             entry.waiting_tokens
             for entry in self.entries.values()
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -1,4 +1,4 @@
-"""Jobs and results in the store: each write is settled before it counts."""
+"""Reads and writes batch jobs and their results in the store."""
 
 import asyncio
 import random
@@ -30,21 +30,25 @@
     StoreUnsureError,
 )
 
-# Results that were read anywhere must be seen here a second later.
-LOOK_AGE = 0.5  # seconds
-UNREADABLE = (LookupError, TypeError, ValueError)
+# Results that a client has read at any instance must be readable at all
+# others within a second.
+REFRESH_INTERVAL = 0.5  # seconds
+DECODE_ERRORS = (LookupError, TypeError, ValueError)
 
 
-class _Look:
-    """The last look at a job's results, and who looks now."""
+class _Refresh:
+    """When a job's results were last read, and the lock to read them."""
 
     def __init__(self) -> None:
         self.lock = asyncio.Lock()
-        self.at = float('-inf')
+        self.started = float('-inf')
 
 
 class JobStore:
-    """Reads and writes jobs; the index holds what the store has."""
+    """Jobs and their results in the store, mirrored in a ``JobIndex``.
+
+    The index is updated only with what the store is known to hold.
+    """
 
     def __init__(
         self,
@@ -52,28 +56,31 @@
         index: JobIndex,
         rng: random.Random,
         now: Callable[[], float],
-        plain: ObjectStore | None = None,
+        result_store: ObjectStore | None = None,
     ) -> None:
-        """Write through ``store``; note in ``index`` what was settled.
+        """Write jobs to ``store`` and results to ``result_store``, if given.
 
-        Results are listed through ``plain``, if given: that is tried anew as
-        long as it takes, so that it need not be settled at once.
+        ``store`` should settle writes whose responses were lost.
+        ``result_store`` need not: ``store_results`` retries until it succeeds.
         """
-        self._plain = plain or store
+        self._result_store = result_store or store
         self._now = now
-        self._looks: dict[str, _Look] = {}
+        self._refreshes: dict[str, _Refresh] = {}
         self._store = store
         self.index = index
         self._rng = rng
 
-    def note(self, stored: StoredObject) -> JobEntry | None:
-        """Take in a job's object; nothing where it can't be read."""
+    def apply(self, stored: StoredObject) -> JobEntry | None:
+        """Update the index with a job's object.
+
+        Returns None if the job was deleted or can't be decoded.
+        """
         if stored.deleted:
             self.index.entries.pop(stored.name, None)
             return None
         try:
             return self.index.put(job_from_stored(stored))
-        except UNREADABLE as exc:
+        except DECODE_ERRORS as exc:
             events.emit(
                 events.ENTRY_UNREADABLE, name=stored.name, error=repr(exc)
             )
@@ -82,13 +89,13 @@
     def apply_changes(
         self, found: Iterable[StoredObject], revision: int
     ) -> None:
-        """Take in jobs that are new as of a revision of the store."""
+        """Update the index with all jobs that changed up to ``revision``."""
         for stored in found:
-            self.note(stored)
+            self.apply(stored)
         self.index.revision = max(self.index.revision, revision)
 
     async def accept(self, job: Job) -> bool:
-        """Create a job once; False where it was accepted before.
+        """Create a job; return False if it was accepted before.
 
         Raises ``StoreUnavailableError`` if it was not accepted, and
         ``StoreUnsureError`` if it may have been.
@@ -96,19 +103,23 @@
         bodies = bodies_to_content(job)
         content = job_to_content(job)
         await self._store.create(BODY_KIND, job.id, bodies)
-        # The index is what accepts the job: without it the bodies are nothing.
+        # The job is accepted once this second object exists; bodies alone
+        # have no effect.
         new = await self._store.create(JOB_KIND, job.id, content)
         if new:
-            entry = self.note(StoredObject(job.id, 0, content))
-            entry.load(job.items)
-            entry.learned = True
-            entry.sole = True
+            entry = self.apply(StoredObject(job.id, 0, content))
+            entry.load_bodies(job.items)
+            entry.results_loaded = True
+            entry.sole_writer = True
         else:
             await self._adopt(job)
         return new
 
-    async def load(self, entry: JobEntry) -> None:
-        """Read a job's bodies, if they aren't known here."""
+    async def load_bodies(self, entry: JobEntry) -> None:
+        """Read a job's bodies from the store unless they are in memory.
+
+        Raises ``StoreUnavailableError``.
+        """
         if entry.has_bodies:
             return
         stored = await self._store.get(BODY_KIND, entry.job.id)
@@ -116,69 +127,83 @@
             events.emit(
                 events.ENTRY_UNREADABLE,
                 name=entry.job.id,
-                error='the job has no bodies',
+                error='the bodies of the job are missing in the store',
             )
             return
-        entry.load(with_bodies(entry.job, stored.content))
+        entry.load_bodies(with_bodies(entry.job, stored.content))
 
     async def relist(self) -> None:
-        """Read every job's index; raise ``StoreUnavailableError``."""
+        """Read all jobs, without bodies and results, into the index.
+
+        Raises ``StoreUnavailableError``.
+        """
         page = await self._store.list_page(JOB_KIND, '')
         found = list(page.entries)
         while page.more and page.entries:
             page = await self._store.list_page(JOB_KIND, found[-1].name)
             found.extend(page.entries)
         for stored in found:
-            self.note(stored)
+            self.apply(stored)
+
+    async def find(self, job_id: str) -> JobEntry | None:
+        """Return a job, reading it from the store if the index lacks it.
 
-    async def find(self, job: str) -> JobEntry | None:
-        """Return a job, from the store where it isn't known yet."""
-        known = self.index.entries.get(job)
+        Returns None if it does not exist or can't be decoded. Raises
+        ``StoreUnavailableError``.
+        """
+        known = self.index.entries.get(job_id)
         if known is not None:
             return known
-        stored = await self._store.get(JOB_KIND, job)
-        return None if stored is None else self.note(stored)
+        stored = await self._store.get(JOB_KIND, job_id)
+        return None if stored is None else self.apply(stored)
 
-    async def end(self, job: str) -> bool:
-        """End a job for good; False where no such job exists.
+    async def end(self, job_id: str) -> bool:
+        """End a job permanently; return False if there is no such job.
 
         Raises ``StoreUnavailableError`` and ``StoreUnsureError``.
         """
-        return await self._set_state(job, ENDED)
+        return await self._set_state(job_id, ENDED)
+
+    async def mark_done(self, job_id: str) -> None:
+        """Mark a job whose items all have results as done.
 
-    async def finish(self, job: str) -> None:
-        """Note that every item is listed; a failure costs reads only."""
+        Store failures are only logged: without the mark, instances just have to
+        read the job's results again.
+        """
         try:
-            await self._set_state(job, DONE)
+            await self._set_state(job_id, DONE)
         except (StoreUnavailableError, StoreUnsureError) as exc:
-            events.emit(events.WRITE_FAILED, name=job, error=repr(exc))
+            events.emit(events.WRITE_FAILED, name=job_id, error=repr(exc))
 
     async def refresh(self, entry: JobEntry) -> None:
-        """Read the parts of a job's results that are new.
+        """Read the chunks of a job's results that aren't known here.
 
-        Looks that come together, or soon after one another, are one.
+        Calls that overlap, or follow within ``REFRESH_INTERVAL``, share one
+        read. Raises ``StoreUnavailableError``.
         """
-        look = self._looks.setdefault(entry.job.id, _Look())
-        async with look.lock:
-            if entry.complete or self._now() - look.at < LOOK_AGE:
+        last = self._refreshes.setdefault(entry.job.id, _Refresh())
+        async with last.lock:
+            if entry.complete or self._now() - last.started < REFRESH_INTERVAL:
                 return
-            at = self._now()
+            started = self._now()
             await self._read_chunks(entry)
-            look.at = at
+            last.started = started
 
-    async def list_results(
+    async def store_results(
         self,
         entry: JobEntry,
         results: tuple[ItemResult, ...],
     ) -> None:
-        """Give results the next positions, whatever it takes.
+        """Append results to those in the store, retrying until it succeeds.
 
-        A part that another instance wrote first is read and kept; results
-        that it lists already are dropped.
+        If another instance has written the next chunk first, that chunk is
+        kept and results of the same items are dropped.
         """
         backoff = Backoff(self._rng)
         while True:
-            new = tuple(one for one in results if not entry.is_listed(one.id))
+            new = tuple(
+                result for result in results if not entry.has_result(result.id)
+            )
             if not new:
                 return
             try:
@@ -193,26 +218,29 @@
                 await asyncio.sleep(backoff.next_pause())
 
     async def _adopt(self, job: Job) -> None:
-        """Take a job in that this very run accepted with a lost answer."""
+        """Keep the bodies if this process accepted the job before.
+
+        That happens when the store's response to an earlier write was lost.
+        """
         try:
             entry = await self.find(job.id)
         except StoreUnavailableError as exc:
             events.emit(events.WRITE_FAILED, name=job.id, error=repr(exc))
             return
         if entry is not None and entry.job.acceptor == job.acceptor:
-            entry.load(job.items)
+            entry.load_bodies(job.items)
 
     async def _read_chunks(self, entry: JobEntry) -> None:
         while not entry.complete:
             name = chunk_name(entry.job.id, entry.chunk_count)
             stored = await self._store.get(RESULT_KIND, name)
-            # The own listing may have taken the same part in meanwhile.
+            # A write by this instance may have added the chunk meanwhile.
             if name != chunk_name(entry.job.id, entry.chunk_count):
                 continue
             if stored is None:
                 break
-            entry.append(results_from_content(stored.content))
-        entry.learned = True
+            entry.add_chunk(results_from_content(stored.content))
+        entry.results_loaded = True
 
     async def _write_chunk(
         self,
@@ -222,27 +250,30 @@
         number = entry.chunk_count
         content = results_to_content(results)
         name = chunk_name(entry.job.id, number)
-        if await self._plain.create(RESULT_KIND, name, content):
+        if await self._result_store.create(RESULT_KIND, name, content):
             if entry.chunk_count == number:
-                entry.append(results)
+                entry.add_chunk(results)
             return
         await self._read_chunks(entry)
 
-    async def _set_state(self, job: str, state: str) -> bool:
-        """Write a state under the job's revision, until it stands."""
-        stored = await self._store.get(JOB_KIND, job)
-        while stored is not None and not self._has_ended(stored):
+    async def _set_state(self, job_id: str, state: str) -> bool:
+        """Write a job's state; retry while the job changes concurrently.
+
+        Returns False if there is no such job. A final state is not replaced.
+        """
+        stored = await self._store.get(JOB_KIND, job_id)
+        while stored is not None and not self._is_final(stored):
             status = {'state': state}
             if await self._store.put_status(JOB_KIND, stored, status):
                 break
-            stored = await self._store.get(JOB_KIND, job)
+            stored = await self._store.get(JOB_KIND, job_id)
         if stored is not None and state == ENDED:
-            self.index.end(job)
+            self.index.end(job_id)
         return stored is not None
 
-    def _has_ended(self, stored: StoredObject) -> bool:
-        """Take a job in; tell whether its state is final."""
-        entry = self.note(stored)
+    def _is_final(self, stored: StoredObject) -> bool:
+        """Update the index; tell whether the state is final or unreadable."""
+        entry = self.apply(stored)
         return entry is None or entry.job.done or _state_of(stored) == ENDED
 
 
@@ -251,5 +282,5 @@
 
 
 def encoded_size(job: Job) -> int:
-    """Return the bytes that a job's object takes."""
+    """Return the size in bytes of the store object with a job's bodies."""
     return len(msgspec.json.encode(bodies_to_content(job)))
--- a/gentiantrestle/gateway/batch/records.py
+++ b/gentiantrestle/gateway/batch/records.py
@@ -1,4 +1,4 @@
-"""How jobs and their results lie in the store; the project's own format."""
+"""Encodes batch jobs and their results in this project's store format."""
 
 import base64
 from typing import Any, NamedTuple
@@ -14,21 +14,21 @@
 
 
 class JobRecord(NamedTuple):
-    """A job as it was read, with what a status write needs."""
+    """A decoded job and its object, which is needed to write its status."""
 
     job: Job
     stored: StoredObject
 
 
-def chunk_name(job: str, index: int) -> str:
-    """Name the part of a job's results with this index."""
-    return f'{job}.{index}'
+def chunk_name(job_id: str, index: int) -> str:
+    """Name the object of one chunk of a job's results."""
+    return f'{job_id}.{index}'
 
 
 def job_to_content(job: Job) -> dict[str, Any]:
-    """Write a job without its bodies: each instance reads it.
+    """Encode a job without its bodies, as every instance reads it.
 
-    Its state stands in the object's status.
+    The job's state is not included: it is in the object's status.
     """
     return {
         'host': job.host,
@@ -41,7 +41,10 @@
 
 
 def bodies_to_content(job: Job) -> dict[str, Any]:
-    """Write what only the instance that runs a job needs."""
+    """Encode the paths, headers and bodies of a job's items.
+
+    They are stored apart: only the instance that runs the job needs them.
+    """
     return {
         'bodies': [
             [spec.path, spec.headers, base64.b64encode(spec.body).decode()]
@@ -51,38 +54,44 @@
 
 
 def job_from_stored(stored: StoredObject) -> JobRecord:
-    """Read a job and its state; the bodies are not in it."""
-    told = stored.content
+    """Decode a job and its state; its items have no bodies.
+
+    Raises ``LookupError``, ``TypeError`` or ``ValueError`` if the content is
+    malformed.
+    """
+    content = stored.content
     state = (stored.status or {}).get('state', '')
     job = Job(
         id=stored.name,
-        host=told['host'],
-        path=told['path'],
-        submitted=told['submitted'],
-        acceptor=told['acceptor'],
-        items=tuple(ItemSpec(name, tokens) for name, tokens in told['items']),
-        version=told['version'],
+        host=content['host'],
+        path=content['path'],
+        submitted=content['submitted'],
+        acceptor=content['acceptor'],
+        items=tuple(
+            ItemSpec(name, tokens) for name, tokens in content['items']
+        ),
+        version=content['version'],
         cancelled=state == ENDED,
         done=state == DONE,
     )
     return JobRecord(job, stored)
 
 
-def with_bodies(job: Job, told: dict[str, Any]) -> tuple[ItemSpec, ...]:
-    """Return a job's items with the bodies that were stored for it."""
+def with_bodies(job: Job, content: dict[str, Any]) -> tuple[ItemSpec, ...]:
+    """Return a job's items with the bodies decoded from ``content``."""
     return tuple(
         spec._replace(path=path, headers=headers, body=base64.b64decode(body))
         for spec, (path, headers, body) in zip(
-            job.items, told['bodies'], strict=True
+            job.items, content['bodies'], strict=True
         )
     )
 
 
 def results_to_content(results: tuple[ItemResult, ...]) -> dict[str, Any]:
-    """Write one part of a job's results."""
-    return {'results': [list(one) for one in results]}
+    """Encode one chunk of a job's results."""
+    return {'results': [list(result) for result in results]}
 
 
-def results_from_content(told: dict[str, Any]) -> tuple[ItemResult, ...]:
-    """Read one part of a job's results."""
-    return tuple(ItemResult(*one) for one in told['results'])
+def results_from_content(content: dict[str, Any]) -> tuple[ItemResult, ...]:
+    """Decode one chunk of a job's results."""
+    return tuple(ItemResult(*row) for row in content['results'])
--- a/gentiantrestle/gateway/batch/result_reader.py
+++ b/gentiantrestle/gateway/batch/result_reader.py
@@ -1,4 +1,4 @@
-"""Who can say what the results of a job are: memory, its runner, the store."""
+"""Reads job results from memory, the instance that runs a job, or the store."""
 
 from collections.abc import Awaitable, Callable
 
@@ -6,13 +6,13 @@
 from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.batch.runner import Runner
-from gentiantrestle.gateway.batch.scheduling import runner_of
+from gentiantrestle.gateway.batch.scheduling import job_owner
 from gentiantrestle.gateway.peers import Peer, PeerList
 from gentiantrestle.store.client import StoreUnavailableError
 
 
 class ResultReader:
-    """Brings a job's results up to date where memory may lack some."""
+    """Brings the results of jobs in memory up to date where needed."""
 
     def __init__(
         self,
@@ -21,29 +21,36 @@
         peers: PeerList,
         now: Callable[[], float],
     ) -> None:
-        """Ask the store through ``job_store``, other instances by ``ask``."""
+        """Read from ``job_store`` only, until ``fetch_from_peer`` is set.
+
+        ``fetch_from_peer`` reads a job's results from another instance, and
+        returns False if that can't give them.
+        """
         self._job_store = job_store
         self._runner = runner
         self._peers = peers
         self._now = now
         self.fetch_from_peer: Callable[[Peer, JobEntry], Awaitable[bool]] = (
-            _ask_nobody
+            _fetch_nothing
         )
 
-    def is_sure(self, entry: JobEntry) -> bool:
-        """Tell whether this process knows all results without the store.
+    def is_current(self, entry: JobEntry) -> bool:
+        """Tell whether memory is sure to hold all stored results of a job.
 
-        It does for jobs that it accepted itself, unless another instance may
-        have taken them over without being heard.
+        That is so for jobs that this process accepted, unless another instance
+        may have taken them over without this one having heard of it.
         """
         settled = self._peers.no_recent_losses(self._now())
-        return entry.sole and settled and not self._runner.stopping
+        return entry.sole_writer and settled and not self._runner.stopping
 
     async def ensure_current(self, entry: JobEntry) -> bool:
-        """Have a job's results known here, if this process runs it."""
-        if self.is_sure(entry):
+        """Bring a job's results up to date, if this instance runs it.
+
+        Returns False if it doesn't, or if the store is unavailable.
+        """
+        if self.is_current(entry):
             return True
-        if self._runner.stopping or not self._runner.is_own(entry):
+        if self._runner.stopping or not self._runner.owns(entry):
             return False
         try:
             await self._job_store.refresh(entry)
@@ -52,17 +59,20 @@
             return False
         return True
 
-    async def look(self, entry: JobEntry) -> None:
-        """Learn a job's new results; raise ``StoreUnavailableError``."""
-        if entry.complete or self.is_sure(entry):
+    async def refresh(self, entry: JobEntry) -> None:
+        """Read a job's new results from its owner, or else from the store.
+
+        Raises ``StoreUnavailableError``.
+        """
+        if entry.complete or self.is_current(entry):
             return
-        name = runner_of(entry, self._peers.working_runs(self._now()))
-        peer = self._peers.find_run(name) if name else None
-        if self._runner.is_own(entry):
+        owner = job_owner(entry, self._peers.working_runs(self._now()))
+        peer = self._peers.find_run(owner) if owner else None
+        if self._runner.owns(entry):
             peer = None
         if peer is None or not await self.fetch_from_peer(peer, entry):
             await self._job_store.refresh(entry)
 
 
-async def _ask_nobody(peer: Peer, entry: JobEntry) -> bool:
+async def _fetch_nothing(peer: Peer, entry: JobEntry) -> bool:
     return False
--- a/gentiantrestle/gateway/batch/result_writer.py
+++ b/gentiantrestle/gateway/batch/result_writer.py
@@ -1,4 +1,4 @@
-"""Has results listed in the store, several with one write."""
+"""Writes results to the store, several in one chunk."""
 
 import asyncio
 
@@ -7,55 +7,61 @@
 from gentiantrestle.gateway.batch.job_store import JobStore
 from gentiantrestle.gateway.model import ItemResult
 
-# Results are listed together when they come within this time.
-LIST_PAUSE = 0.4  # seconds
-STOP_TIME = 2.0  # seconds a planned stop leaves for the last writes
+# Results that come within this time are written in one chunk.
+WRITE_DELAY = 0.4  # seconds
+STOP_TIMEOUT = 2.0  # seconds a planned stop leaves for the last writes
 
 
 class ResultWriter:
-    """Results that are finished and not yet in the store, by job."""
+    """Results that are not in the store yet, by job."""
 
     def __init__(self, job_store: JobStore) -> None:
-        """List through ``job_store``."""
+        """Write to ``job_store``."""
         self._job_store = job_store
-        self._outbox: dict[str, list[ItemResult]] = {}
+        self._unwritten: dict[str, list[ItemResult]] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
 
-    def post(self, entry: JobEntry, one: ItemResult) -> None:
-        """Have a result listed, together with others that come soon."""
-        job = entry.job.id
-        self._outbox.setdefault(job, []).append(one)
-        if job not in self._tasks:
-            self._tasks[job] = asyncio.create_task(self._list(entry))
+    def add(self, entry: JobEntry, result: ItemResult) -> None:
+        """Schedule a result to be written, with others that come soon."""
+        job_id = entry.job.id
+        self._unwritten.setdefault(job_id, []).append(result)
+        if job_id not in self._tasks:
+            self._tasks[job_id] = asyncio.create_task(self._write_job(entry))
 
-    def held(self) -> set[str]:
-        """Return the ids of items that wait to be listed."""
-        return {one.id for results in self._outbox.values() for one in results}
+    def unwritten_ids(self) -> set[str]:
+        """Return the ids of items whose results are not written yet."""
+        return {
+            result.id
+            for results in self._unwritten.values()
+            for result in results
+        }
 
     async def stop(self) -> None:
-        """List what is finished without waiting for more."""
+        """Write the remaining results, for up to ``STOP_TIMEOUT``."""
         self._stopping = True
         if self._tasks:
-            await asyncio.wait(tuple(self._tasks.values()), timeout=STOP_TIME)
+            await asyncio.wait(
+                tuple(self._tasks.values()), timeout=STOP_TIMEOUT
+            )
 
-    async def _list(self, entry: JobEntry) -> None:
-        job = entry.job.id
+    async def _write_job(self, entry: JobEntry) -> None:
+        job_id = entry.job.id
         try:
-            await self._empty(entry)
+            await self._flush(entry)
         finally:
-            self._tasks.pop(job, None)
-        self._outbox.pop(job, None)
+            self._tasks.pop(job_id, None)
+        self._unwritten.pop(job_id, None)
         if entry.complete:
-            events.emit(events.JOB_FINISHED, job=job, state='done')
+            events.emit(events.JOB_FINISHED, job=job_id, state='done')
             entry.drop_bodies()
-            await self._job_store.finish(job)
+            await self._job_store.mark_done(job_id)
 
-    async def _empty(self, entry: JobEntry) -> None:
-        outbox = self._outbox[entry.job.id]
-        while outbox:
+    async def _flush(self, entry: JobEntry) -> None:
+        unwritten = self._unwritten[entry.job.id]
+        while unwritten:
             if not self._stopping:
-                await asyncio.sleep(LIST_PAUSE)
-            results = tuple(outbox)
-            await self._job_store.list_results(entry, results)
-            del outbox[: len(results)]  # noqa: WPS420 (others were appended)
+                await asyncio.sleep(WRITE_DELAY)
+            results = tuple(unwritten)
+            await self._job_store.store_results(entry, results)
+            del unwritten[: len(results)]  # noqa: WPS420 (more may have come)
--- a/gentiantrestle/gateway/batch/run_table.py
+++ b/gentiantrestle/gateway/batch/run_table.py
@@ -1,4 +1,4 @@
-"""The items that run here, and which of them give way."""
+"""Items that run on this instance, and preemption among them."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -6,161 +6,182 @@
 
 from gentiantrestle import events
 from gentiantrestle.gateway.batch.context import BatchContext
-from gentiantrestle.gateway.batch.item_progress import Finished, ItemRun
+from gentiantrestle.gateway.batch.item_progress import ItemProgress, RunOutcome
 from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.scheduling import (
-    Due,
-    Need,
+    Estimate,
     Pace,
-    may_yield,
-    yield_rank,
+    QueuedItem,
+    is_preemptible,
+    preemption_rank,
 )
 from gentiantrestle.gateway.model import ItemSpec, Route, Upstream
 
 
-class _Running(NamedTuple):
+class _ActiveRun(NamedTuple):
     upstream: Upstream
     task: asyncio.Task[None]
-    since: float
+    started: float
 
 
 class RunTable:
-    """Runs of items: started, ended, cut for requests."""
+    """Starts, cancels and preempts runs of items."""
 
     def __init__(
         self,
-        parts: BatchContext,
-        finished: Callable[[ItemRun, Finished], None],
+        context: BatchContext,
+        on_outcome: Callable[[ItemProgress, RunOutcome], None],
     ) -> None:
-        """Call ``finished`` for each run that was not cut."""
-        self._parts = parts
-        self._finished = finished
-        self._runs: dict[str, ItemRun] = {}
-        self._running: dict[str, _Running] = {}
+        """Call ``on_outcome`` after each run that was not cancelled."""
+        self._context = context
+        self._on_outcome = on_outcome
+        self._progress: dict[str, ItemProgress] = {}
+        self._active: dict[str, _ActiveRun] = {}
         self._pace = Pace()
 
     def ids(self) -> set[str]:
         """Return the ids of the items that run now."""
-        return set(self._running)
-
-    def start(self, due: Due, route: Route, upstream: Upstream) -> None:
-        """Run an item on, or from its start, on an upstream."""
-        item_id = due.spec.id
-        run = self._runs.get(item_id)
-        if run is None:
-            run = ItemRun(due.entry, due.spec, route.max_attempts)
-            self._runs[item_id] = run
+        return set(self._active)
+
+    def start(
+        self, queued: QueuedItem, route: Route, upstream: Upstream
+    ) -> None:
+        """Run an item on an upstream, resuming it if it has run before."""
+        item_id = queued.spec.id
+        progress = self._progress.get(item_id)
+        if progress is None:
+            progress = ItemProgress(
+                queued.entry, queued.spec, route.max_attempts
+            )
+            self._progress[item_id] = progress
         events.emit(
             events.ITEM_PLACED,
             item=item_id,
-            job=due.entry.job.id,
+            job=queued.entry.job.id,
             upstream=upstream.id,
-            spare_ms=round(due.spare * 1000),
-            roster=self._parts.roster.revision,
+            spare_ms=round(queued.slack * 1000),
+            roster=self._context.roster.revision,
         )
-        self._parts.board.add(upstream.id, batch=1)
-        task = asyncio.create_task(self._drive(run, upstream))
-        now = self._parts.clock.now()
-        self._running[item_id] = _Running(upstream, task, now)
-
-    def cut(self, item_id: str) -> None:
-        """End a run at once; its slot is free for others now."""
-        running = self._running.pop(item_id)
-        self._parts.board.add(running.upstream.id, batch=-1)
-        running.task.cancel()
-
-    def cut_closed(self) -> None:
-        """End the runs of jobs that are ended or complete."""
-        for item_id in tuple(self._running):
-            if not self._runs[item_id].entry.open:
-                self.cut(item_id)
+        self._context.board.add(upstream.id, batch=1)
+        task = asyncio.create_task(self._run(progress, upstream))
+        now = self._context.clock.now()
+        self._active[item_id] = _ActiveRun(upstream, task, now)
+
+    def cancel(self, item_id: str) -> None:
+        """Cancel a run; its slot counts as free at once."""
+        active = self._active.pop(item_id)
+        self._context.board.add(active.upstream.id, batch=-1)
+        active.task.cancel()
+
+    def cancel_closed(self) -> None:
+        """Cancel the runs of jobs that are ended, done or complete."""
+        for item_id in tuple(self._active):
+            if not self._progress[item_id].entry.open:
+                self.cancel(item_id)
                 self.forget(item_id)
 
     def forget(self, item_id: str) -> None:
-        """Drop what is known of an item that is not run any more."""
-        self._runs.pop(item_id, None)
+        """Drop the progress of an item that won't be run any more."""
+        self._progress.pop(item_id, None)
 
     def preempt(self, upstreams: Iterable[str]) -> str | None:
-        """Cut the item that can best wait on some upstreams; return which."""
+        """Cancel the run on some upstreams whose item can best wait.
+
+        Returns the id of its upstream, or None if no item may be preempted.
+        """
         wanted = set(upstreams)
-        spares = {
-            item_id: self._spare(item_id)
-            for item_id, running in self._running.items()
-            if running.upstream.id in wanted
+        slacks = {
+            item_id: self._slack(item_id)
+            for item_id, active in self._active.items()
+            if active.upstream.id in wanted
         }
-        fit = [one for one, spare in spares.items() if may_yield(spare)]
-        if not fit:
+        candidates = [
+            candidate
+            for candidate, slack in slacks.items()
+            if is_preemptible(slack)
+        ]
+        if not candidates:
             return None
-        item_id = max(fit, key=lambda one: yield_rank(spares[one]))
-        upstream = self._running[item_id].upstream.id
+        item_id = max(
+            candidates, key=lambda candidate: preemption_rank(slacks[candidate])
+        )
+        upstream = self._active[item_id].upstream.id
         events.emit(
             events.ITEM_PREEMPTED,
             item=item_id,
             upstream=upstream,
-            spare_ms=round(spares[item_id] * 1000),
+            spare_ms=round(slacks[item_id] * 1000),
         )
-        self.cut(item_id)
+        self.cancel(item_id)
         return upstream
 
     def preempt_overbooked(self) -> None:
-        """Cut items where all instances together take over the slots.
+        """Preempt an item on each upstream with more work than slots.
 
-        Of several instances the one with the most batch there gives way.
+        The work of all instances counts. This instance preempts only if no
+        other has more batch items there.
         """
-        now = self._parts.clock.now()
-        board = self._parts.board
-        used = {one.upstream for one in self._running.values()}
+        now = self._context.clock.now()
+        board = self._context.board
+        used = {active.upstream for active in self._active.values()}
         for upstream in used:
-            if self._parts.placement.free_slots(upstream, now) >= 0:
+            if self._context.placement.free_slots(upstream, now) >= 0:
                 continue
-            own = board.own_loads[upstream.id].batch
-            if own >= board.max_peer_batch(upstream.id, now):
+            own_batch = board.own_loads[upstream.id].batch
+            if own_batch >= board.max_peer_batch(upstream.id, now):
                 self.preempt((upstream.id,))
 
-    def need(
+    def estimate(
         self,
         entry: JobEntry,
         route: Route,
         spec: ItemSpec,
         running: float = 0,
-    ) -> Need:
-        """Say what an item needs; it has been ``running`` s this time."""
-        run = self._runs.get(spec.id)
-        spent = running
-        if run is not None:
-            spent += run.spent
-        left = self._pace.left(spec.tokens, spent)
-        due = entry.job.submitted + route.completion_target
-        spare = self._pace.spare(due, self._parts.clock.wall(), left)
-        return Need(left, spare)
-
-    def _spare(self, item_id: str) -> float:
-        """Return a running item's time to spare, in s."""
-        run = self._runs[item_id]
-        job = run.entry.job
-        route = self._parts.router.match(job.host, job.path)
+    ) -> Estimate:
+        """Estimate an item's remaining tokens and slack.
+
+        ``running`` is the time in s that its current run has taken so far.
+        """
+        progress = self._progress.get(spec.id)
+        run_time = running
+        if progress is not None:
+            run_time += progress.run_time
+        tokens_left = self._pace.tokens_left(spec.tokens, run_time)
+        deadline = entry.job.submitted + route.completion_target
+        slack = self._pace.slack(
+            deadline, self._context.clock.wall(), tokens_left
+        )
+        return Estimate(tokens_left, slack)
+
+    def _slack(self, item_id: str) -> float:
+        """Return a running item's slack in s; 0 if its route is removed."""
+        progress = self._progress[item_id]
+        job = progress.entry.job
+        route = self._context.router.match(job.host, job.path)
         if route is None:
             return 0
-        running = self._parts.clock.now() - self._running[item_id].since
-        return self.need(run.entry, route, run.spec, running).spare
+        running = self._context.clock.now() - self._active[item_id].started
+        return self.estimate(
+            progress.entry, route, progress.spec, running
+        ).slack
 
-    async def _drive(self, run: ItemRun, upstream: Upstream) -> None:
+    async def _run(self, progress: ItemProgress, upstream: Upstream) -> None:
         try:
-            ended = await run.run(
+            outcome = await progress.run(
                 upstream,
-                self._parts.placement,
-                self._parts.dialect,
-                self._parts.clock.now,
+                self._context.placement,
+                self._context.dialect,
+                self._context.clock.now,
             )
         finally:
-            self._release(run, upstream)
-        if ended.result is not None and ended.result.completed:
-            self._pace.note(run.spent, run.spec.tokens)
-        self._finished(run, ended)
-
-    def _release(self, run: ItemRun, upstream: Upstream) -> None:
-        """Give the slot back, unless a cut has done so."""
-        running = self._running.get(run.spec.id)
-        if running is not None and running.task is asyncio.current_task():
-            self._running.pop(run.spec.id)
-            self._parts.board.add(upstream.id, batch=-1)
+            self._release(progress, upstream)
+        if outcome.result is not None and outcome.result.completed:
+            self._pace.add_sample(progress.run_time, progress.spec.tokens)
+        self._on_outcome(progress, outcome)
+
+    def _release(self, progress: ItemProgress, upstream: Upstream) -> None:
+        """Free the slot, unless ``cancel`` has done so."""
+        active = self._active.get(progress.spec.id)
+        if active is not None and active.task is asyncio.current_task():
+            self._active.pop(progress.spec.id)
+            self._context.board.add(upstream.id, batch=-1)
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -1,4 +1,4 @@
-"""Looks after the jobs that this instance is in charge of."""
+"""Runs the items of the jobs that this instance owns."""
 
 import asyncio
 from collections import deque
@@ -7,15 +7,15 @@
 
 from gentiantrestle import events
 from gentiantrestle.gateway.batch.context import BatchContext
-from gentiantrestle.gateway.batch.item_progress import Finished, ItemRun
+from gentiantrestle.gateway.batch.item_progress import ItemProgress, RunOutcome
 from gentiantrestle.gateway.batch.job_index import JobEntry
 from gentiantrestle.gateway.batch.result_writer import ResultWriter
 from gentiantrestle.gateway.batch.run_table import RunTable
 from gentiantrestle.gateway.batch.scheduling import (
-    Due,
-    due_items,
+    QueuedItem,
     is_abandoned,
-    runs_here,
+    owns_job,
+    queued_items,
     start_budget,
 )
 from gentiantrestle.gateway.loads import BatchBacklog
@@ -23,186 +23,214 @@
 from gentiantrestle.gateway.routing import choose_service
 from gentiantrestle.store.client import StoreUnavailableError
 
-# How often waiting items look for slots, besides when one is given back.
-ROUND_TIME = 0.1  # seconds
-IDLE_TIME = 0.4  # seconds, where nothing runs or waits
-# An upstream that refused or lost an item is left alone by it for this long.
-ITEM_PAUSE = 0.3  # seconds
-# Runs of other instances that the others are told of with each datagram.
-TAKEN_TOLD = 8
+# Longest time between two scheduling rounds while items run or wait; a freed
+# slot starts a round at once.
+BUSY_INTERVAL = 0.1  # seconds
+IDLE_INTERVAL = 0.4  # seconds, while no item runs or waits
+# Delay before an item that an upstream refused or lost is run again, and
+# before a failed read of the store is repeated.
+RETRY_DELAY = 0.3  # seconds
+# Takeovers that are announced to other instances with each datagram.
+MAX_ANNOUNCED_TAKEOVERS = 8
 
 
 class Runner:
-    """Starts items on free slots and has their results listed."""
+    """Starts items on free slots and has their results written."""
 
-    def __init__(self, parts: BatchContext, instance: str) -> None:
-        """Run nothing yet; ``alive`` lists the living runs of instances."""
-        self._parts = parts
+    def __init__(self, context: BatchContext, instance: str) -> None:
+        """Run jobs as ``instance``, the name of this instance's run.
+
+        ``live_instances`` must be set to return the names of the other
+        instances that live and take work.
+        """
+        self._context = context
         self._instance = instance
-        self._began = parts.clock.now()
+        self._started = context.clock.now()
         self.live_instances: Callable[[], Iterable[str]] = tuple
-        self.run_table = RunTable(parts, self._note_end)
-        self._writer = ResultWriter(parts.job_store)
-        self._paused: dict[str, float] = {}
-        self._learning: set[str] = set()
+        self.run_table = RunTable(context, self._note_outcome)
+        self._writer = ResultWriter(context.job_store)
+        self._retry_times: dict[str, float] = {}
+        self._catching_up: set[str] = set()
         self._woken = asyncio.Event()
         self.waiting = BatchBacklog()
-        # Runs of instances whose jobs were taken over, told to the others.
-        self.taken_over: deque[str] = deque(maxlen=TAKEN_TOLD)
+        # Acceptors whose jobs this instance has taken over.
+        self.taken_over: deque[str] = deque(maxlen=MAX_ANNOUNCED_TAKEOVERS)
         self.stopping = False
 
     async def run(self) -> None:
-        """Look for work until cancelled."""
+        """Schedule items until cancelled or stopped."""
         while not self.stopping:
-            self._round()
+            self._schedule()
             self._woken.clear()
             busy = self.waiting.count or self.run_table.ids()
             with suppress(TimeoutError):
-                async with asyncio.timeout(ROUND_TIME if busy else IDLE_TIME):
+                async with asyncio.timeout(
+                    BUSY_INTERVAL if busy else IDLE_INTERVAL
+                ):
                     await self._woken.wait()
 
     def wake(self) -> None:
-        """Look for work now."""
+        """Start a scheduling round now."""
         self._woken.set()
 
-    def is_own(self, entry: JobEntry) -> bool:
+    def owns(self, entry: JobEntry) -> bool:
         """Tell whether this instance runs a job."""
-        age = self._parts.clock.now() - self._began
-        return runs_here(entry, self._instance, self.live_instances(), age)
+        uptime = self._context.clock.now() - self._started
+        return owns_job(entry, self._instance, self.live_instances(), uptime)
 
     async def stop(self) -> None:
-        """Cut the items and list what is finished."""
+        """Cancel all runs and write the results of finished items."""
         self.stopping = True
         for item_id in self.run_table.ids():
-            self.run_table.cut(item_id)
+            self.run_table.cancel(item_id)
         await self._writer.stop()
 
-    def _round(self) -> None:
-        now = self._parts.clock.now()
-        self.run_table.cut_closed()
+    def _schedule(self) -> None:
+        now = self._context.clock.now()
+        self.run_table.cancel_closed()
         self.run_table.preempt_overbooked()
-        mine = list(self._own_entries())
-        self._give_up(mine)
-        busy = self.run_table.ids() | self._writer.held() | self._pausing(now)
-        waiting = due_items(mine, busy, self.run_table.need)
+        owned = list(self._owned_entries())
+        self._fail_abandoned(owned)
+        busy = (
+            self.run_table.ids()
+            | self._writer.unwritten_ids()
+            | self._retrying_later(now)
+        )
+        waiting = queued_items(owned, busy, self.run_table.estimate)
         self.waiting = BatchBacklog()
         if waiting:
-            self.waiting = BatchBacklog(len(waiting), waiting[0].spare)
-            self._start_some(waiting, now)
+            self.waiting = BatchBacklog(len(waiting), waiting[0].slack)
+            self._start_items(waiting, now)
 
-    def _start_some(self, waiting: list[Due], now: float) -> None:
-        """Start the first items, as far as each service has slots for them."""
-        ahead = self._parts.board.batch_ahead(self.waiting, now)
+    def _start_items(self, waiting: list[QueuedItem], now: float) -> None:
+        """Start the first items, as far as each service has free slots."""
+        ahead = self._context.board.batch_ahead(self.waiting, now)
         budgets: dict[str, int] = {}
-        for due in waiting:
-            route = self._parts.router.match(due.entry.job.host, due.spec.path)
+        for queued in waiting:
+            route = self._context.router.match(
+                queued.entry.job.host, queued.spec.path
+            )
             if route is None:
                 continue
-            service = choose_service(route, due.spec.id)
-            found = self._parts.roster.usable_upstreams(service, now)
+            service = choose_service(route, queued.spec.id)
+            upstreams = self._context.roster.usable_upstreams(service, now)
             budget = budgets.get(service)
             if budget is None:
-                budget = self._budget(found, ahead, now)
-            budgets[service] = budget - self._start(due, route, found, budget)
+                budget = self._budget(upstreams, ahead, now)
+            budgets[service] = budget - self._start(
+                queued, route, upstreams, budget
+            )
 
     def _start(
         self,
-        due: Due,
+        queued: QueuedItem,
         route: Route,
-        found: list[Upstream],
+        upstreams: list[Upstream],
         budget: int,
     ) -> bool:
         """Start an item if the budget and a free slot allow it."""
         if not budget:
             return False
-        now = self._parts.clock.now()
-        upstream = self._parts.placement.choose(found, now)
+        now = self._context.clock.now()
+        upstream = self._context.placement.choose(upstreams, now)
         if upstream is None:
             return False
-        self.run_table.start(due, route, upstream)
+        self.run_table.start(queued, route, upstream)
         return True
 
     def _budget(
         self,
-        found: list[Upstream],
+        upstreams: list[Upstream],
         ahead: int,
         now: float,
     ) -> int:
-        placement = self._parts.placement
-        fit = placement.healthy(found, now)
-        free = sum(max(0, placement.free_slots(one, now)) for one in fit)
-        return start_budget(free, sum(one.slots for one in found), ahead)
-
-    def _own_entries(self) -> Iterator[tuple[JobEntry, Route | None]]:
-        for entry in self._parts.index.open_entries():
-            if not self.is_own(entry):
+        placement = self._context.placement
+        healthy = placement.healthy(upstreams, now)
+        free = sum(
+            max(0, placement.free_slots(upstream, now)) for upstream in healthy
+        )
+        return start_budget(
+            free, sum(upstream.slots for upstream in upstreams), ahead
+        )
+
+    def _owned_entries(self) -> Iterator[tuple[JobEntry, Route | None]]:
+        """Yield the jobs to run here whose bodies and results are loaded."""
+        for entry in self._context.index.open_entries():
+            if not self.owns(entry):
                 continue
-            self._note_taken(entry)
-            if not entry.learned or not entry.has_bodies:
-                self._learn(entry)
+            self._note_takeover(entry)
+            if not entry.results_loaded or not entry.has_bodies:
+                self._catch_up(entry)
                 continue
             yield (
                 entry,
-                self._parts.router.match(entry.job.host, entry.job.path),
+                self._context.router.match(entry.job.host, entry.job.path),
             )
 
-    def _note_taken(self, entry: JobEntry) -> None:
-        run = entry.job.acceptor
-        if run != self._instance and run not in self.taken_over:
-            events.emit(events.JOBS_TAKEN, run=run)
-            self.taken_over.append(run)
+    def _note_takeover(self, entry: JobEntry) -> None:
+        acceptor = entry.job.acceptor
+        if acceptor != self._instance and acceptor not in self.taken_over:
+            events.emit(events.JOBS_TAKEN, run=acceptor)
+            self.taken_over.append(acceptor)
 
-    def _learn(self, entry: JobEntry) -> None:
-        """Read what others have listed before running another's job."""
-        if entry.job.id not in self._learning:
-            self._learning.add(entry.job.id)
-            asyncio.create_task(self._read_listed(entry))
+    def _catch_up(self, entry: JobEntry) -> None:
+        """Read a job's stored results and bodies before running it."""
+        if entry.job.id not in self._catching_up:
+            self._catching_up.add(entry.job.id)
+            asyncio.create_task(self._load(entry))
 
-    async def _read_listed(self, entry: JobEntry) -> None:
+    async def _load(self, entry: JobEntry) -> None:
         try:
-            await self._parts.job_store.refresh(entry)
+            await self._context.job_store.refresh(entry)
             if entry.open:
-                await self._parts.job_store.load(entry)
+                await self._context.job_store.load_bodies(entry)
         except StoreUnavailableError as exc:
             events.emit(events.WRITE_FAILED, name=entry.job.id, error=repr(exc))
-            await asyncio.sleep(ITEM_PAUSE)
+            await asyncio.sleep(RETRY_DELAY)
         finally:
-            self._learning.discard(entry.job.id)
+            self._catching_up.discard(entry.job.id)
         if entry.complete:
-            await self._parts.job_store.finish(entry.job.id)
+            await self._context.job_store.mark_done(entry.job.id)
         self.wake()
 
-    def _pausing(self, now: float) -> set[str]:
-        """Return the items that were refused or lost just now."""
-        self._paused = {
-            item_id: until
-            for item_id, until in self._paused.items()
-            if until > now
+    def _retrying_later(self, now: float) -> set[str]:
+        """Return the items whose retry delay is not over."""
+        self._retry_times = {
+            item_id: retry_time
+            for item_id, retry_time in self._retry_times.items()
+            if retry_time > now
         }
-        return set(self._paused)
-
-    def _note_end(self, run: ItemRun, ended: Finished) -> None:
-        item_id = run.spec.id
-        if ended.result is None:
-            self._paused[item_id] = self._parts.clock.now() + ITEM_PAUSE
+        return set(self._retry_times)
+
+    def _note_outcome(
+        self, progress: ItemProgress, outcome: RunOutcome
+    ) -> None:
+        item_id = progress.spec.id
+        if outcome.result is None:
+            self._retry_times[item_id] = self._context.clock.now() + RETRY_DELAY
             return
         self.run_table.forget(item_id)
-        self._writer.post(run.entry, ended.result)
+        self._writer.add(progress.entry, outcome.result)
         self.wake()
 
-    def _give_up(self, mine: list[tuple[JobEntry, Route | None]]) -> None:
-        """List items that nobody waits for, or that have no route any more."""
-        wall = self._parts.clock.wall()
-        version = self._parts.router.table.version
-        for entry, route in mine:
+    def _fail_abandoned(
+        self, owned: list[tuple[JobEntry, Route | None]]
+    ) -> None:
+        """Fail items whose route was removed or whose retention is over."""
+        wall = self._context.clock.wall()
+        version = self._context.router.table.version
+        for entry, route in owned:
             if is_abandoned(entry, route, version, wall):
-                self._give_up_job(entry)
+                self._fail_items(entry)
 
-    def _give_up_job(self, entry: JobEntry) -> None:
-        held = self._writer.held()
-        for spec in tuple(entry.unlisted()):
+    def _fail_items(self, entry: JobEntry) -> None:
+        unwritten = self._writer.unwritten_ids()
+        for spec in tuple(entry.unfinished_items()):
             if spec.id in self.run_table.ids():
-                self.run_table.cut(spec.id)
-            if spec.id not in held:
-                run = ItemRun(entry, spec, 0)
-                self._writer.post(entry, run.give_up('nobody waits for it'))
+                self.run_table.cancel(spec.id)
+            if spec.id not in unwritten:
+                progress = ItemProgress(entry, spec, 0)
+                self._writer.add(
+                    entry,
+                    progress.fail('the route is removed or retention is over'),
+                )
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -1,9 +1,12 @@
-"""Which instance runs a job, and which item is next; no I/O.
+"""Decides which instance runs a job and which item runs next; no I/O.
 
-Answers the load of more jobs than can be in time: of an instance's items the
-one with the least left to do goes first, so that most are in time; of several
-instances the one whose first item has the least time to spare; items that
-can't be in time any more go last.
+This is for overload, when not every item can meet its completion target. An
+instance starts the items with the fewest tokens left first, so that most are
+in time. Among instances, the one whose first item has the least slack goes
+first. Items that can't be in time any more go last.
+
+An item's slack is the time in s between its expected completion and its
+deadline, negative if it would be late.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,68 +17,66 @@
 from gentiantrestle.gateway.model import ItemSpec, Route
 from gentiantrestle.gateway.peers import SILENCE_TIMEOUT
 
-# An item with less time to spare than this is not cut for a request: the
-# request would take about as long as the item has left.
-YIELD_SPARE = 1.0  # seconds
-# One slot in so many stays free of batch: about what comes to all upstreams
-# while an item that gives way is cut.
-SLOTS_FOR_RESERVE = 24
-# Wall clocks may step by seconds; nothing is given up early for that.
-CLOCK_SLACK = 5.0  # seconds
+# An item with less slack than this is not preempted: the request would hold
+# the slot for about as long.
+MIN_PREEMPTION_SLACK = 1.0  # seconds
+# One in this many slots is kept free of batch: about as many requests arrive
+# at all upstreams while a preempted item is being cancelled.
+SLOTS_PER_RESERVED_SLOT = 24
+# Wall clocks may step by seconds; retention must not end early for that.
+CLOCK_TOLERANCE = 5.0  # seconds
 SMOOTHING = 0.1
-FIRST_PACE = 0.003  # seconds a token is assumed to take before any was made
+INITIAL_PACE = 0.003  # seconds a token, assumed until an item has finished
 
 
-class Due(NamedTuple):
-    """An item that waits for a slot, with its time to spare in s."""
+class QueuedItem(NamedTuple):
+    """An item that waits for a slot; ``slack`` is in s."""
 
-    left: int
-    spare: float
+    tokens_left: int
+    slack: float
     entry: JobEntry
     spec: ItemSpec
 
     @property
     def rank(self) -> tuple[bool, int]:
         """Order items: those that can be in time, the shortest first."""
-        return self.spare < 0, self.left
+        return self.slack < 0, self.tokens_left
 
 
-class Need(NamedTuple):
-    """Tokens that an item still has to make, and its time to spare in s."""
+class Estimate(NamedTuple):
+    """Tokens that an item still has to generate, and its slack in s."""
 
-    left: int
-    spare: float
+    tokens_left: int
+    slack: float
 
 
 class Pace:
-    """Smoothed time that a run takes for each token, in s."""
+    """Exponentially smoothed time a token takes, in s."""
 
     def __init__(self) -> None:
-        """Start from an assumption."""
-        self.mean = FIRST_PACE
+        """Start from ``INITIAL_PACE``."""
+        self.mean = INITIAL_PACE
 
-    def note(self, seconds: float, tokens: int) -> None:
-        """Take in one finished item."""
+    def add_sample(self, seconds: float, tokens: int) -> None:
+        """Add the run time and the tokens of a finished item."""
         if tokens:
             self.mean += SMOOTHING * (seconds / tokens - self.mean)
 
-    def spare(self, due: float, wall: float, left: float) -> float:
-        """Return the time to spare before an item is due, in s.
-
-        ``left`` is how many tokens the item still has to make.
-        """
-        return due - wall - left * self.mean
+    def slack(self, deadline: float, wall: float, tokens_left: float) -> float:
+        """Return an item's slack in s; both times are on the wall clock."""
+        return deadline - wall - tokens_left * self.mean
 
-    def left(self, tokens: int, spent: float) -> int:
-        """Return how many tokens are left after ``spent`` s of running."""
-        return max(0, int(tokens - spent / self.mean))
+    def tokens_left(self, tokens: int, run_time: float) -> int:
+        """Estimate how many tokens are left after ``run_time`` s."""
+        return max(0, int(tokens - run_time / self.mean))
 
 
-def runner_of(entry: JobEntry, names: Iterable[str]) -> str | None:
-    """Name the instance that runs a job.
+def job_owner(entry: JobEntry, names: Iterable[str]) -> str | None:
+    """Return which of the live ``names`` runs a job; None if there are none.
 
-    The acceptor does while it lives; after it any instance may be chosen.
-    Two that disagree cost work, not correctness.
+    A name stands for one run of an instance. The owner is the acceptor while
+    it lives, then one chosen by rendezvous hashing. If two instances see
+    different owners, items may run twice; results are still stored once.
     """
     alive = set(names)
     if entry.job.acceptor in alive:
@@ -83,45 +84,45 @@
     return owner(entry.job.id, alive)
 
 
-def runs_here(
+def owns_job(
     entry: JobEntry,
     instance: str,
     alive: Iterable[str],
-    age: float,
+    uptime: float,
 ) -> bool:
-    """Tell whether this instance, started ``age`` s ago, runs a job.
+    """Tell whether this instance, started ``uptime`` s ago, runs a job.
 
-    One that has just started has not heard of the others yet, and takes none
-    of their jobs for abandoned.
+    An instance that has just started has not heard from the others yet, so it
+    must not take their jobs over.
     """
     if entry.job.acceptor == instance:
         return True
-    if age < SILENCE_TIMEOUT:
+    if uptime < SILENCE_TIMEOUT:
         return False
-    return runner_of(entry, (*alive, instance)) == instance
+    return job_owner(entry, (*alive, instance)) == instance
 
 
 def start_budget(free: int, slots: int, ahead: int) -> int:
     """Return how many items an instance may start on a service's free slots.
 
-    Items of other instances that have less time to spare go ``ahead``, so
-    that all of them don't take the same free slot at once.
+    ``ahead`` is the number of items at other instances that have less slack:
+    they go first, so that instances don't take the same free slot at once.
     """
-    return max(0, free - slots // SLOTS_FOR_RESERVE - ahead)
+    return max(0, free - slots // SLOTS_PER_RESERVED_SLOT - ahead)
 
 
-def may_yield(spare: float) -> bool:
-    """Tell whether an item is cut for a request.
+def is_preemptible(slack: float) -> bool:
+    """Tell whether a running item may be preempted by a request.
 
-    One that can't be in time loses nothing by it; one with time to spare can
-    go on elsewhere.
+    A late item loses nothing by it; one with enough slack can be resumed on
+    another upstream in time.
     """
-    return spare < 0 or spare > YIELD_SPARE
+    return slack < 0 or slack > MIN_PREEMPTION_SLACK
 
 
-def yield_rank(spare: float) -> tuple[bool, float]:
-    """Order items for yielding, the first to yield last."""
-    return spare < 0, spare
+def preemption_rank(slack: float) -> tuple[bool, float]:
+    """Order items for preemption: the highest rank is preempted first."""
+    return slack < 0, slack
 
 
 def is_abandoned(
@@ -130,30 +131,33 @@
     version: int,
     wall: float,
 ) -> bool:
-    """Tell whether nobody waits for a job's items any more.
+    """Tell whether a job's unfinished items need not be run any more.
 
-    That is so when its route is gone from a configuration at least as new as
-    the one it was accepted under, or when its retention is over on every
-    instance's clock.
+    That is so if its route is missing in a configuration at least as new as
+    the one it was accepted under, or if its retention is over on the clock of
+    every instance.
     """
     if route is None:
         return 0 < entry.job.version <= version
     if not route.retention:
         return False
-    return wall > entry.job.submitted + route.retention + CLOCK_SLACK
+    return wall > entry.job.submitted + route.retention + CLOCK_TOLERANCE
 
 
-def due_items(
+def queued_items(
     entries: Iterable[tuple[JobEntry, Route | None]],
     busy: set[str],
-    need: Callable[[JobEntry, Route, ItemSpec], Need],
-) -> list[Due]:
-    """List the items that wait, in the order in which they are started."""
+    estimate: Callable[[JobEntry, Route, ItemSpec], Estimate],
+) -> list[QueuedItem]:
+    """List the items that wait for a slot, the first to start first.
+
+    Items whose ids are in ``busy`` and jobs without a route are left out.
+    """
     found = [
-        Due(*need(entry, route, spec), entry, spec)
+        QueuedItem(*estimate(entry, route, spec), entry, spec)
         for entry, route in entries
         if route is not None
-        for spec in entry.unlisted()
+        for spec in entry.unfinished_items()
         if spec.id not in busy
     ]
-    return sorted(found, key=lambda due: due.rank)
+    return sorted(found, key=lambda queued: queued.rank)
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -1,4 +1,4 @@
-"""Jobs in the store: accepted once, positions fixed, after any loss."""
+"""Batch jobs: storing them and their results, ownership, scheduling."""
 
 import random
 
@@ -17,14 +17,14 @@
     with_bodies,
 )
 from gentiantrestle.gateway.batch.scheduling import (
-    Need,
-    due_items,
+    Estimate,
     is_abandoned,
-    may_yield,
-    runner_of,
-    runs_here,
+    is_preemptible,
+    job_owner,
+    owns_job,
+    preemption_rank,
+    queued_items,
     start_budget,
-    yield_rank,
 )
 from gentiantrestle.gateway.loads import BatchBacklog, LoadBoard, LoadReport
 from gentiantrestle.gateway.model import ItemResult
@@ -48,16 +48,16 @@
     return ItemResult(f'job1-{number}', True, output)
 
 
-def test_a_job_reads_back_as_it_was_handed_in() -> None:
-    one = make_job(count=3)
-    stored = StoredObject(one.id, 5, job_to_content(one), {'state': 'ended'})
-    read = job_from_stored(stored).job
-    assert with_bodies(read, bodies_to_content(one)) == one.items
-    assert read._replace(items=one.items) == one._replace(cancelled=True)
+def test_encoded_job_decodes_to_the_same_job() -> None:
+    sample = make_job(count=3)
+    stored = StoredObject(sample.id, 5, job_to_content(sample), {'state': 'ended'})
+    decoded = job_from_stored(stored).job
+    assert with_bodies(decoded, bodies_to_content(sample)) == sample.items
+    assert decoded._replace(items=sample.items) == sample._replace(cancelled=True)
     assert b'{}' not in repr(stored).encode()
 
 
-async def test_who_takes_a_job_over_reads_its_bodies() -> None:
+async def test_other_instance_reads_bodies_from_store() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
     await job_store.accept(make_job())
@@ -65,11 +65,11 @@
     entry = await other.find('job1')
     assert entry is not None
     assert entry.body('job1-0') is None
-    await other.load(entry)
+    await other.load_bodies(entry)
     assert entry.body('job1-0') == b'{}'
 
 
-async def test_a_job_is_accepted_once_over_instances() -> None:
+async def test_accept_is_true_only_on_the_first_of_two_instances() -> None:
     store = MemoryStore()
     first, _ = _instance(store)
     second, _ = _instance(store)
@@ -77,7 +77,7 @@
     assert not await second.accept(make_job())
 
 
-async def test_a_lost_answer_is_not_called_not_accepted() -> None:
+async def test_accept_is_unsure_while_store_responses_are_lost() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
     store.lose_answers = 2
@@ -87,55 +87,57 @@
     assert not await job_store.accept(make_job())
 
 
-async def test_positions_are_fixed_when_two_run_the_same_job() -> None:
+async def test_first_stored_result_wins_when_two_instances_run_a_job() -> None:
     store = MemoryStore()
-    one, one_index = _instance(store)
-    two, two_index = _instance(store)
-    await one.accept(make_job())
-    await two.find('job1')
-    await one.list_results(one_index.entries['job1'], (_result(0, 'mine'),))
-    both = (_result(0, 'other'), _result(1))
-    await two.list_results(two_index.entries['job1'], both)
-    wanted = [_result(0, 'mine'), _result(1)]
-    assert two_index.entries['job1'].results == wanted
-    await one.refresh(one_index.entries['job1'])
-    assert one_index.entries['job1'].results == wanted
-
-
-def test_results_wait_for_an_absent_store_and_are_listed_once() -> None:
+    first, first_index = _instance(store)
+    second, second_index = _instance(store)
+    await first.accept(make_job())
+    await second.find('job1')
+    await first.store_results(
+        first_index.entries['job1'], (_result(0, 'first'),)
+    )
+    both = (_result(0, 'second'), _result(1))
+    await second.store_results(second_index.entries['job1'], both)
+    expected = [_result(0, 'first'), _result(1)]
+    assert second_index.entries['job1'].results == expected
+    await first.refresh(first_index.entries['job1'])
+    assert first_index.entries['job1'].results == expected
+
+
+def test_results_are_stored_once_after_a_lost_store_response() -> None:
     async def run() -> MemoryStore:
         store = MemoryStore()
         job_store, index = _instance(store)
         await job_store.accept(make_job())
         store.lose_answers = 1
-        await job_store.list_results(index.entries['job1'], (_result(0),))
+        await job_store.store_results(index.entries['job1'], (_result(0),))
         return store
 
     store = play(run())
     assert list(store.kinds[RESULT_KIND]) == [chunk_name('job1', 0)]
 
 
-async def test_only_the_acceptor_of_this_very_run_knows_without_store() -> None:
+async def test_only_the_run_that_accepted_a_job_is_its_sole_writer() -> None:
     store = MemoryStore()
     job_store, index = _instance(store)
     await job_store.accept(make_job())
-    assert index.entries['job1'].sole
+    assert index.entries['job1'].sole_writer
     restarted, _ = _instance(store)
     entry = await restarted.find('job1')
     assert entry is not None
-    assert not entry.learned
+    assert not entry.results_loaded
     await restarted.refresh(entry)
-    assert entry.learned
-    assert not entry.sole
+    assert entry.results_loaded
+    assert not entry.sole_writer
     index.note_takeover('one/1')
-    assert not index.entries['job1'].sole
+    assert not index.entries['job1'].sole_writer
 
 
-async def test_an_end_holds_and_what_is_listed_stays() -> None:
+async def test_ended_job_keeps_its_results_and_stays_ended() -> None:
     store = MemoryStore()
     job_store, index = _instance(store)
     await job_store.accept(make_job())
-    await job_store.list_results(index.entries['job1'], (_result(0),))
+    await job_store.store_results(index.entries['job1'], (_result(0),))
     assert await job_store.end('job1')
     assert await job_store.end('job1')
     assert not index.entries['job1'].open
@@ -143,7 +145,7 @@
     assert not await job_store.end('unknown')
 
 
-async def test_an_end_without_store_is_refused() -> None:
+async def test_end_raises_while_store_is_unavailable() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
     store.down = True
@@ -151,54 +153,54 @@
         await job_store.end('job1')
 
 
-async def test_an_unreadable_job_is_passed_over() -> None:
+async def test_find_returns_none_for_a_malformed_job() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
     store.write(JOB_KIND, StoredObject('odd', 0, {'items': 7}))
     assert await job_store.find('odd') is None
 
 
-def test_a_run_that_died_is_replaced_by_one_that_lives() -> None:
+def test_job_owner_is_acceptor_while_it_lives_then_another_run() -> None:
     index = JobIndex()
     entry = index.put(JobRecord(make_job(), StoredObject('job1', 1, {})))
-    assert runner_of(entry, ['one/1', 'two/1']) == 'one/1'
-    chosen = runner_of(entry, ['two/1', 'one/2', 'three/1'])
+    assert job_owner(entry, ['one/1', 'two/1']) == 'one/1'
+    chosen = job_owner(entry, ['two/1', 'one/2', 'three/1'])
     assert chosen in {'two/1', 'one/2', 'three/1'}
-    assert runner_of(entry, ['three/1', 'one/2', 'two/1']) == chosen
+    assert job_owner(entry, ['three/1', 'one/2', 'two/1']) == chosen
 
 
-def test_one_that_has_just_started_takes_no_job_of_others() -> None:
+def test_just_started_instance_owns_only_jobs_it_accepted() -> None:
     index = JobIndex()
     entry = index.put(JobRecord(make_job(), StoredObject('job1', 1, {})))
-    assert runs_here(entry, 'one/1', [], 0)
-    assert not runs_here(entry, 'two/1', [], SILENCE_TIMEOUT / 2)
-    assert runs_here(entry, 'two/1', [], SILENCE_TIMEOUT)
-    assert not runs_here(entry, 'two/1', ['one/1'], SILENCE_TIMEOUT)
+    assert owns_job(entry, 'one/1', [], 0)
+    assert not owns_job(entry, 'two/1', [], SILENCE_TIMEOUT / 2)
+    assert owns_job(entry, 'two/1', [], SILENCE_TIMEOUT)
+    assert not owns_job(entry, 'two/1', ['one/1'], SILENCE_TIMEOUT)
 
 
-def test_the_shortest_item_that_can_be_in_time_goes_first() -> None:
+def test_queue_has_shortest_items_first_and_late_items_last() -> None:
     index = JobIndex()
     long = index.put(JobRecord(make_job('long'), StoredObject('long', 1, {})))
     short = index.put(
         JobRecord(make_job('short'), StoredObject('short', 1, {}))
     )
-    lost = index.put(JobRecord(make_job('lost'), StoredObject('lost', 1, {})))
-    pairs = [(one, make_batch_route()) for one in (long, lost, short)]
-    needs = {
-        'long': Need(900, 2),
-        'short': Need(100, 9),
-        'lost': Need(50, -1),
+    late = index.put(JobRecord(make_job('late'), StoredObject('late', 1, {})))
+    pairs = [(entry, make_batch_route()) for entry in (long, late, short)]
+    estimates = {
+        'long': Estimate(900, 2),
+        'short': Estimate(100, 9),
+        'late': Estimate(50, -1),
     }
-    waiting = due_items(
+    waiting = queued_items(
         pairs,
-        {'short-1', 'lost-1'},
-        lambda entry, *_: needs[entry.job.id],
+        {'short-1', 'late-1'},
+        lambda entry, *_: estimates[entry.job.id],
     )
-    order = [due.spec.id for due in waiting]
-    assert order == ['short-0', 'long-0', 'long-1', 'lost-0']
+    order = [queued.spec.id for queued in waiting]
+    assert order == ['short-0', 'long-0', 'long-1', 'late-0']
 
 
-def test_instances_don_t_take_the_same_free_slot() -> None:
+def test_start_budget_leaves_slots_to_items_with_less_slack() -> None:
     board = LoadBoard()
     mine = BatchBacklog(3, 4.0)
     board.set_peer_report('tighter', LoadReport(0, {}, 0, BatchBacklog(2, 1.0)))
@@ -210,31 +212,31 @@
     assert start_budget(free=5, slots=48, ahead=ahead) == 1
 
 
-def test_an_item_that_would_miss_its_time_does_not_give_way() -> None:
-    assert may_yield(5)
-    assert not may_yield(0.5)
-    assert may_yield(-1)
-    assert yield_rank(-1) > yield_rank(9) > yield_rank(5)
+def test_items_with_little_slack_are_not_preemptible() -> None:
+    assert is_preemptible(5)
+    assert not is_preemptible(0.5)
+    assert is_preemptible(-1)
+    assert preemption_rank(-1) > preemption_rank(9) > preemption_rank(5)
 
 
 @pytest.mark.parametrize(
     ('accepted', 'known', 'abandoned'),
     [(3, 3, True), (3, 4, True), (3, 2, False), (3, 0, False)],
 )
-def test_a_job_without_route_waits_for_a_configuration_as_new(
+def test_job_without_route_is_abandoned_once_configuration_is_as_new(
     accepted: int, known: int, abandoned: bool
 ) -> None:
     index = JobIndex()
-    one = make_job(version=accepted)
-    entry = index.put(JobRecord(one, StoredObject('job1', 1, {})))
+    sample = make_job(version=accepted)
+    entry = index.put(JobRecord(sample, StoredObject('job1', 1, {})))
     assert is_abandoned(entry, None, known, 1) == abandoned
 
 
-def test_retention_is_over_on_every_clock_before_items_are_given_up() -> None:
+def test_job_is_abandoned_after_retention_and_clock_tolerance() -> None:
     index = JobIndex()
     entry = index.put(
         JobRecord(make_job(submitted=100), StoredObject('job1', 1, {}))
     )
-    kept = make_batch_route(retention=60)
-    assert not is_abandoned(entry, kept, 1, 162)
-    assert is_abandoned(entry, kept, 1, 166)
+    route = make_batch_route(retention=60)
+    assert not is_abandoned(entry, route, 1, 162)
+    assert is_abandoned(entry, route, 1, 166)
