--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -50,10 +50,14 @@
 
 def test_encoded_job_decodes_to_the_same_job() -> None:
     sample = make_job(count=3)
-    stored = StoredObject(sample.id, 5, job_to_content(sample), {'state': 'ended'})
+    stored = StoredObject(
+        sample.id, 5, job_to_content(sample), {'state': 'ended'}
+    )
     decoded = job_from_stored(stored).job
     assert with_bodies(decoded, bodies_to_content(sample)) == sample.items
-    assert decoded._replace(items=sample.items) == sample._replace(cancelled=True)
+    assert decoded._replace(items=sample.items) == sample._replace(
+        cancelled=True
+    )
     assert b'{}' not in repr(stored).encode()
 
 
--- a/tests/gateway/test_process_jobs.py
+++ b/tests/gateway/test_process_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs with real processes."""
+"""Batch jobs on gateway instances and upstreams in their own processes."""
 
 import base64
 from typing import Any
@@ -11,21 +11,21 @@
 async def read_all(
     fleet: GatewayFleet, entry: int, name: str
 ) -> dict[str, str]:
-    """Return a job's outputs by item, once all are listed."""
+    """Return a job's outputs by item id, once all results are stored."""
 
-    async def look() -> dict[str, Any] | None:
+    async def read_page() -> dict[str, Any] | None:
         path = f'/gentiantrestle/lots/{name}?after=0'
         page = await fleet.ask(entry, 'read', path, method='GET')
         if page.status != 200:
             return None
-        told = page.json()
-        return told if told['next'] == told['total'] else None
+        body = page.json()
+        return body if body['next'] == body['total'] else None
 
-    page = await until(look)
+    page = await until(read_page)
     return {row['id']: row['output'] for row in page['results']}
 
 
-async def test_a_job_is_accepted_once_and_read_anywhere(
+async def test_resubmitted_job_is_accepted_and_readable_on_all_instances(
     fleet: GatewayFleet,
 ) -> None:
     for entry in (0, 1, 0):
@@ -36,7 +36,8 @@
     for entry in range(ENTRIES):
         found = await read_all(fleet, entry, 'job1')
         assert found == {
-            f'job1-{one}': expected_output(f'job1-{one}', 9) for one in range(6)
+            f'job1-{number}': expected_output(f'job1-{number}', 9)
+            for number in range(6)
         }
     body = await fleet.ask(
         2, 'b', '/gentiantrestle/items/job1?id=job1-3', method='GET'
@@ -44,7 +45,7 @@
     assert body.body == b'{"events":9}'
 
 
-async def test_an_accepted_job_outlives_its_acceptor(
+async def test_job_completes_after_its_acceptor_is_killed(
     fleet: GatewayFleet,
 ) -> None:
     reply = await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 4, 40))
@@ -57,7 +58,7 @@
     assert await read_all(fleet, 0, 'job1') == found
 
 
-async def test_an_item_goes_on_at_its_event_after_a_cut(
+async def test_item_resumes_from_its_last_event_when_stream_is_cut(
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
@@ -68,7 +69,9 @@
     assert sorted(run['last'] for run in await fleet.runs()) == [0, 10, 20]
 
 
-async def test_items_that_can_never_be_done_end(fleet: GatewayFleet) -> None:
+async def test_item_fails_if_rejected_or_after_max_attempts(
+    fleet: GatewayFleet,
+) -> None:
     poison = base64.b64encode(b'{"poison":1}').decode()
     await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 1, body=poison))
     assert await read_all(fleet, 1, 'job1') == {'job1-0': ''}
@@ -80,7 +83,7 @@
     assert len(runs) == 3
 
 
-async def test_an_ended_job_stops(fleet: GatewayFleet) -> None:
+async def test_ending_a_job_cancels_its_runs(fleet: GatewayFleet) -> None:
     slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
     await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow))
     await until(lambda: busy(fleet))
@@ -89,21 +92,21 @@
             1, 'end', '/gentiantrestle/lots/job1', method='DELETE'
         )
         assert reply.status == 200
-    # The items would run for 20 s more.
+    # Without the end the items would run for 20 s.
     await until(lambda: idle(fleet), timeout=5)
 
 
 async def busy(fleet: GatewayFleet) -> bool:
-    """Tell whether an upstream is at work."""
+    """Tell whether an upstream is running a request or item."""
     return not await idle(fleet)
 
 
 async def idle(fleet: GatewayFleet) -> bool:
-    """Tell whether no upstream is at work any more."""
+    """Tell whether no upstream is running anything."""
     return not any(run['active'] for run in await fleet.runs())
 
 
-async def test_without_store_a_job_is_refused_and_reads_are_unsure(
+async def test_submit_and_read_are_refused_while_store_is_down(
     fleet: GatewayFleet,
 ) -> None:
     await fleet.harm_store(down=True)
@@ -115,7 +118,7 @@
     assert page.status == 503
 
 
-async def test_a_job_is_accepted_though_answers_of_the_store_are_lost(
+async def test_job_is_accepted_after_some_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
     await fleet.harm_store(lose=3, silence=30)
@@ -128,7 +131,7 @@
     assert len(await fleet.runs()) == 1
 
 
-async def test_a_lost_answer_of_the_store_is_not_called_refused(
+async def test_submit_is_unsure_while_all_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
     await fleet.harm_store(lose=99, silence=30)
@@ -142,12 +145,12 @@
     }
 
 
-async def test_a_quota_holds_over_all_instances(fleet: GatewayFleet) -> None:
-    listed = route_docs()
-    listed[-1]['max-count'] = 60
-    await fleet.configure(listed)
+async def test_token_quota_holds_across_instances(fleet: GatewayFleet) -> None:
+    routes = route_docs()
+    routes[-1]['max-count'] = 60
+    await fleet.configure(routes)
     for number in range(ENTRIES):
-        await until(lambda one=number: in_force(fleet, one, 2))
+        await until(lambda entry=number: in_force(fleet, entry, 2))
     slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
     statuses = []
     for number in range(6):
@@ -156,5 +159,6 @@
             number % ENTRIES, name, '/lists/j', job_doc(name, 2, 1, body=slow)
         )
         statuses.append(reply.status)
-    # Each job asks for 20 tokens, and instances hear of jobs a second late.
+    # Each job has 20 of the 60 tokens. Instances learn of jobs a second late;
+    # the quota must hold nevertheless.
     assert statuses == [202, 202, 202, 429, 429, 429]
--- a/tests/gateway/wire_samples.py
+++ b/tests/gateway/wire_samples.py
@@ -1,4 +1,4 @@
-"""What the operator and callers write, and what comes of it."""
+"""Routes and jobs as operators and clients send them, expected output."""
 
 import base64
 from typing import Any
@@ -10,8 +10,11 @@
 
 
 def route_doc(**changes: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
-    plain = {
+    """Return a route as operators write it, with some settings changed.
+
+    Names of ``changes`` have underscores for dashes.
+    """
+    defaults = {
         'name': 'chat',
         'hostname': ROUTE_HOST,
         'path-prefix': '/chat/',
@@ -23,13 +26,13 @@
         'max-attempts': 2,
         'resumable': True,
     }
-    return plain | {
-        name.replace('_', '-'): told for name, told in changes.items()
+    return defaults | {
+        name.replace('_', '-'): setting for name, setting in changes.items()
     }
 
 
 def route_docs() -> list[dict[str, Any]]:
-    """Return one route of each kind."""
+    """Return routes of all kinds, streams both resumable and not."""
     return [
         route_doc(),
         route_doc(name='once', path_prefix='/once/', resumable=False),
@@ -47,8 +50,13 @@
     ]
 
 
-def job_doc(name: str, count: int, events: int, **item: Any) -> dict[str, Any]:
-    """Return a batch job as callers hand it in."""
+def job_doc(
+    name: str, count: int, events: int, **fields: Any
+) -> dict[str, Any]:
+    """Return a batch job as clients submit it.
+
+    Each item makes ``events`` events; ``fields`` replaces fields of all items.
+    """
     body = f'{{"events":{events}}}'.encode()
     return {
         'items': [
@@ -58,18 +66,18 @@
                 'headers': {},
                 'body': base64.b64encode(body).decode(),
                 'token-count': 10,
-                **item,
+                **fields,
             }
             for number in range(count)
         ],
     }
 
 
-def expected_output(item: str, events: int) -> str:
-    """Return the whole output of an item."""
-    return '\n'.join(f'{item}-{one + 1}' for one in range(events))
+def expected_output(item_id: str, events: int) -> str:
+    """Return the output of a completed item."""
+    return '\n'.join(f'{item_id}-{index + 1}' for index in range(events))
 
 
 def expected_stream(request_id: str, events: int) -> bytes:
-    """Return the whole stream of a request."""
-    return b''.join(event(request_id, one + 1) for one in range(events))
+    """Return the body of a complete event stream."""
+    return b''.join(event(request_id, index + 1) for index in range(events))
