--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -81,7 +81,7 @@
         self._runner = runner
         self._reader = reader
         self._instance = instance
-        self.on_end: Callable[[str], None] = _ignore
+        self.on_cancel: Callable[[str], None] = _ignore
 
     async def submit(
         self, call: Request, route: Route, submission: Submission
@@ -149,10 +149,10 @@
             raise refuse(NOT_FOUND, 'The job has no such item')
         return Response(OK, BYTES_HEADERS, body)
 
-    async def end(self, request: CancelJob) -> Response:
+    async def cancel(self, request: CancelJob) -> Response:
         """End a job permanently: its unfinished items are not run."""
         try:
-            known = await self._job_store.end(request.job)
+            known = await self._job_store.cancel(request.job)
         except (StoreUnavailableError, StoreUnsureError) as exc:
             raise refuse(
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
@@ -160,7 +160,7 @@
         if not known:
             raise refuse(NOT_FOUND, 'No such job')
         events.emit(events.JOB_FINISHED, job=request.job, state='ended')
-        self.on_end(request.job)
+        self.on_cancel(request.job)
         self._runner.wake()
         return Response(OK, JSON_HEADERS, b'{}')
 
--- a/gentiantrestle/gateway/batch/job_index.py
+++ b/gentiantrestle/gateway/batch/job_index.py
@@ -46,7 +46,7 @@
             done=record.job.done or self.job.done,
         )
 
-    def end(self) -> None:
+    def cancel(self) -> None:
         """Mark the job as ended by its client."""
         self.job = self.job._replace(cancelled=True)
 
@@ -127,11 +127,11 @@
         """List the jobs whose items may still be run."""
         return [entry for entry in self.entries.values() if entry.open]
 
-    def end(self, job_id: str) -> None:
+    def cancel(self, job_id: str) -> None:
         """Mark a job as ended by its client, if the job is known."""
         entry = self.entries.get(job_id)
         if entry is not None:
-            entry.end()
+            entry.cancel()
 
     def note_takeover(self, acceptor: str) -> None:
         """Note that another instance runs the jobs of ``acceptor``.
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -157,7 +157,7 @@
         stored = await self._store.get(JOB_KIND, job_id)
         return None if stored is None else self.apply(stored)
 
-    async def end(self, job_id: str) -> bool:
+    async def cancel(self, job_id: str) -> bool:
         """End a job permanently; return False if there is no such job.
 
         Raises ``StoreUnavailableError`` and ``StoreUnsureError``.
@@ -268,7 +268,7 @@
                 break
             stored = await self._store.get(JOB_KIND, job_id)
         if stored is not None and state == ENDED:
-            self.index.end(job_id)
+            self.index.cancel(job_id)
         return stored is not None
 
     def _is_final(self, stored: StoredObject) -> bool:
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -52,7 +52,7 @@
         self._retry_times: dict[str, float] = {}
         self._catching_up: set[str] = set()
         self._woken = asyncio.Event()
-        self.waiting = BatchBacklog()
+        self.backlog = BatchBacklog()
         # Acceptors whose jobs this instance has taken over.
         self.taken_over: deque[str] = deque(maxlen=MAX_ANNOUNCED_TAKEOVERS)
         self.stopping = False
@@ -62,7 +62,7 @@
         while not self.stopping:
             self._schedule()
             self._woken.clear()
-            busy = self.waiting.count or self.run_table.ids()
+            busy = self.backlog.count or self.run_table.ids()
             with suppress(TimeoutError):
                 async with asyncio.timeout(
                     BUSY_INTERVAL if busy else IDLE_INTERVAL
@@ -97,14 +97,14 @@
             | self._retrying_later(now)
         )
         waiting = queued_items(owned, busy, self.run_table.estimate)
-        self.waiting = BatchBacklog()
+        self.backlog = BatchBacklog()
         if waiting:
-            self.waiting = BatchBacklog(len(waiting), waiting[0].slack)
+            self.backlog = BatchBacklog(len(waiting), waiting[0].slack)
             self._start_items(waiting, now)
 
     def _start_items(self, waiting: list[QueuedItem], now: float) -> None:
         """Start the first items, as far as each service has free slots."""
-        ahead = self._context.board.batch_ahead(self.waiting, now)
+        ahead = self._context.board.batch_ahead(self.backlog, now)
         budgets: dict[str, int] = {}
         for queued in waiting:
             route = self._context.router.match(
--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -88,7 +88,7 @@
             self._work.admission.waiting,
             tuple(self._ended),
             tuple(self._work.runner.taken_over),
-            self._work.runner.waiting,
+            self._work.runner.backlog,
             known.upstreams_revision,
             known.jobs_revision,
             known.upstreams_fingerprint,
@@ -98,7 +98,7 @@
         for run in heard.taken:
             self._work.index.note_takeover(run)
         for job in heard.ended:
-            self._work.index.end(job)
+            self._work.index.cancel(job)
         self._work.runner.run_table.preempt_overbooked()
         self._work.admission.dispatch()
 
--- a/gentiantrestle/gateway/request_handler.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -71,7 +71,7 @@
 
     async def _operate(self, operation: JobOperation) -> Response:
         if isinstance(operation, CancelJob):
-            return await self._api.end(operation)
+            return await self._api.cancel(operation)
         if isinstance(operation, ReadBody):
             return await self._api.read_body(operation)
         return await self._api.read_results(operation)
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -196,7 +196,7 @@
             self._admission, self._parts.placement, dialect, self._clock.now
         )
         api = JobApi(self._parts, self._runner, self._reader, self._run_name)
-        api.on_end = self._peering.announce_ended_job
+        api.on_cancel = self._peering.announce_ended_job
         entry = Entry(
             self._state.router, Forwarder(means), api, dialect, self._clock
         )
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -142,11 +142,11 @@
     job_store, index = _instance(store)
     await job_store.accept(make_job())
     await job_store.store_results(index.entries['job1'], (_result(0),))
-    assert await job_store.end('job1')
-    assert await job_store.end('job1')
+    assert await job_store.cancel('job1')
+    assert await job_store.cancel('job1')
     assert not index.entries['job1'].open
     assert index.entries['job1'].results == [_result(0)]
-    assert not await job_store.end('unknown')
+    assert not await job_store.cancel('unknown')
 
 
 async def test_end_raises_while_store_is_unavailable() -> None:
@@ -154,7 +154,7 @@
     job_store, _ = _instance(store)
     store.down = True
     with pytest.raises(StoreUnavailableError):
-        await job_store.end('job1')
+        await job_store.cancel('job1')
 
 
 async def test_find_returns_none_for_a_malformed_job() -> None:
