--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -1,4 +1,4 @@
-"""Requests on batch jobs: submit, read results, read a body, end."""
+"""Requests on batch jobs: submit, read results, read a body, cancel."""
 
 import asyncio
 from collections.abc import Callable
@@ -84,7 +84,7 @@
         self.on_cancel: Callable[[str], None] = _ignore
 
     async def submit(
-        self, call: Request, route: Route, submission: Submission
+        self, request: Request, route: Route, submission: Submission
     ) -> Response:
         """Accept a job once the store has it; idempotent by the job's id.
 
@@ -92,15 +92,15 @@
         ``STORE_UNAVAILABLE`` if the job was not accepted, and
         ``UPSTREAM_UNSURE`` if it may have been.
         """
-        if call.id in self._index.entries:
+        if request.id in self._index.entries:
             return _accepted()
         job = Job(
-            call.id,
-            call.host,
-            call.target,
+            request.id,
+            request.host,
+            request.target,
             submission.submitted,
             self._instance,
-            self._dialect.read_items(call.body),
+            self._dialect.read_items(request.body),
             submission.config_version,
         )
         size = encoded_size(job)
@@ -123,44 +123,44 @@
         self._runner.wake()
         return _accepted()
 
-    async def read_results(self, request: ReadResults) -> Response:
+    async def read_results(self, operation: ReadResults) -> Response:
         """Return a page of results from a position on.
 
-        Waits up to ``request.wait`` s if there is none yet.
+        Waits up to ``operation.wait`` s if there is none yet.
         """
-        entry = await self._find(request.job)
-        await self._await_results(entry, request)
+        entry = await self._find(operation.job)
+        await self._await_results(entry, operation)
         page = []
         size = 0
-        for result in entry.results[request.after :]:
+        for result in entry.results[operation.after :]:
             size += len(result.output)
             if page and size > MAX_PAGE_SIZE:
                 break
             page.append(result)
         total = len(entry.job.items)
-        body = self._dialect.write_results(total, request.after, page)
+        body = self._dialect.write_results(total, operation.after, page)
         return Response(OK, JSON_HEADERS, body)
 
-    async def read_body(self, request: ReadBody) -> Response:
+    async def read_body(self, operation: ReadBody) -> Response:
         """Return the body of an item."""
-        entry = await self._find(request.job)
-        body = await self._load_body(entry, request.item_id)
+        entry = await self._find(operation.job)
+        body = await self._load_body(entry, operation.item_id)
         if body is None:
             raise refuse(NOT_FOUND, 'The job has no such item')
         return Response(OK, BYTES_HEADERS, body)
 
-    async def cancel(self, request: CancelJob) -> Response:
-        """End a job permanently: its unfinished items are not run."""
+    async def cancel(self, operation: CancelJob) -> Response:
+        """Cancel a job permanently: its unfinished items are not run."""
         try:
-            known = await self._job_store.cancel(request.job)
+            known = await self._job_store.cancel(operation.job)
         except (StoreUnavailableError, StoreUnsureError) as exc:
             raise refuse(
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
         if not known:
             raise refuse(NOT_FOUND, 'No such job')
-        events.emit(events.JOB_FINISHED, job=request.job, state='ended')
-        self.on_cancel(request.job)
+        events.emit(events.JOB_FINISHED, job=operation.job, state='ended')
+        self.on_cancel(operation.job)
         self._runner.wake()
         return Response(OK, JSON_HEADERS, b'{}')
 
@@ -190,14 +190,14 @@
         return body
 
     async def _await_results(
-        self, entry: JobEntry, request: ReadResults
+        self, entry: JobEntry, operation: ReadResults
     ) -> None:
-        """Wait for a result after the position, up to ``request.wait`` s."""
+        """Wait for a result after the position, up to ``operation.wait`` s."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + request.wait
-        while len(entry.results) <= request.after and not entry.complete:
+        deadline = loop.time() + operation.wait
+        while len(entry.results) <= operation.after and not entry.complete:
             await self._refresh(entry)
-            if len(entry.results) > request.after or loop.time() >= deadline:
+            if len(entry.results) > operation.after or loop.time() >= deadline:
                 return
             current = self._reader.is_current(entry)
             await asyncio.sleep(
--- a/gentiantrestle/gateway/batch/item_progress.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -58,13 +58,13 @@
 
         Failures of the upstream are returned; only cancellation is raised.
         """
-        sending = UpstreamConnection(dialect)
+        connection = UpstreamConnection(dialect)
         health = placement.health(upstream.id)
         started = now()
         try:
-            await sending.connect(upstream)
-            reply = await self._start(sending, dialect, upstream)
-            outcome = await self._read(sending, reply)
+            await connection.connect(upstream)
+            reply = await self._start(connection, dialect, upstream)
+            outcome = await self._read(connection, reply)
         except (LinkRefusedError, ResponseLostError, TimeoutError) as exc:
             health.record_failure(now(), 0)
             outcome = RunOutcome(None, repr(exc))
@@ -73,7 +73,7 @@
         else:
             health.record_success()
         finally:
-            sending.close()
+            connection.close()
             self.run_time += now() - started
         self._log(upstream, outcome)
         return outcome
@@ -85,11 +85,11 @@
 
     async def _start(
         self,
-        sending: UpstreamConnection,
+        connection: UpstreamConnection,
         dialect: Dialect,
         upstream: Upstream,
     ) -> Reply:
-        message = UpstreamRequest(
+        request = UpstreamRequest(
             self.spec.id,
             'POST',
             self.spec.path,
@@ -99,13 +99,13 @@
             self.spec.body,
         )
         async with asyncio.timeout(STALL_TIMEOUT):
-            return await sending.send(message)
+            return await connection.send(request)
 
     async def _read(
-        self, sending: UpstreamConnection, reply: Reply
+        self, connection: UpstreamConnection, reply: Reply
     ) -> RunOutcome:
         if reply.status == OK:
-            await self._collect(sending)
+            await self._collect(connection)
             text = '\n'.join(self._texts)
             return RunOutcome(ItemResult(self.spec.id, True, text), 'whole')
         reason = f'status {reply.status}'
@@ -117,9 +117,9 @@
             return RunOutcome(self.fail(reason), reason)
         return RunOutcome(None, reason)
 
-    async def _collect(self, sending: UpstreamConnection) -> None:
+    async def _collect(self, connection: UpstreamConnection) -> None:
         splitter = EventSplitter(self._last_event)
-        async for part in sending.iter_body(STALL_TIMEOUT):
+        async for part in connection.iter_body(STALL_TIMEOUT):
             for event in splitter.feed(part):
                 self._texts.append(event.data)
                 self._last_event = splitter.last_id
--- a/gentiantrestle/gateway/batch/job_index.py
+++ b/gentiantrestle/gateway/batch/job_index.py
@@ -39,7 +39,7 @@
         return len(self._stored_ids) >= len(self.job.items)
 
     def update(self, record: JobRecord) -> None:
-        """Apply a newer record; an ended or done job stays so."""
+        """Apply a newer record; a cancelled or done job stays so."""
         self.stored = record.stored
         self.job = record.job._replace(
             cancelled=record.job.cancelled or self.job.cancelled,
@@ -47,7 +47,7 @@
         )
 
     def cancel(self) -> None:
-        """Mark the job as ended by its client."""
+        """Mark the job as cancelled by its client."""
         self.job = self.job._replace(cancelled=True)
 
     def add_chunk(self, chunk: Iterable[ItemResult]) -> None:
@@ -128,7 +128,7 @@
         return [entry for entry in self.entries.values() if entry.open]
 
     def cancel(self, job_id: str) -> None:
-        """Mark a job as ended by its client, if the job is known."""
+        """Mark a job as cancelled by its client, if the job is known."""
         entry = self.entries.get(job_id)
         if entry is not None:
             entry.cancel()
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -60,8 +60,9 @@
     ) -> None:
         """Write jobs to ``store`` and results to ``result_store``, if given.
 
-        ``store`` should settle writes whose responses were lost.
-        ``result_store`` need not: ``store_results`` retries until it succeeds.
+        ``store`` should repeat writes whose responses were lost, as
+        ``RetryingStore`` does. ``result_store`` need not: ``store_results``
+        retries until it succeeds.
         """
         self._result_store = result_store or store
         self._now = now
@@ -158,7 +159,7 @@
         return None if stored is None else self.apply(stored)
 
     async def cancel(self, job_id: str) -> bool:
-        """End a job permanently; return False if there is no such job.
+        """Cancel a job permanently; return False if there is no such job.
 
         Raises ``StoreUnavailableError`` and ``StoreUnsureError``.
         """
--- a/gentiantrestle/gateway/batch/records.py
+++ b/gentiantrestle/gateway/batch/records.py
@@ -9,8 +9,8 @@
 JOB_KIND = 'batch-jobs'
 BODY_KIND = 'batch-bodies'
 RESULT_KIND = 'batch-results'
-ENDED = 'ended'
-DONE = 'done'
+ENDED = 'ended'  # cancelled by the client
+DONE = 'done'  # every item has a result
 
 
 class JobRecord(NamedTuple):
--- a/gentiantrestle/gateway/batch/result_reader.py
+++ b/gentiantrestle/gateway/batch/result_reader.py
@@ -40,8 +40,8 @@
         That is so for jobs that this process accepted, unless another instance
         may have taken them over without this one having heard of it.
         """
-        settled = self._peers.no_recent_losses(self._now())
-        return entry.sole_writer and settled and not self._runner.stopping
+        no_losses = self._peers.no_recent_losses(self._now())
+        return entry.sole_writer and no_losses and not self._runner.stopping
 
     async def ensure_current(self, entry: JobEntry) -> bool:
         """Bring a job's results up to date, if this instance runs it.
--- a/gentiantrestle/gateway/batch/run_table.py
+++ b/gentiantrestle/gateway/batch/run_table.py
@@ -13,7 +13,7 @@
     Pace,
     QueuedItem,
     is_preemptible,
-    preemption_rank,
+    preemption_key,
 )
 from gentiantrestle.gateway.model import ItemSpec, Route, Upstream
 
@@ -74,7 +74,7 @@
         active.task.cancel()
 
     def cancel_closed(self) -> None:
-        """Cancel the runs of jobs that are ended, done or complete."""
+        """Cancel the runs of jobs that are cancelled, done or complete."""
         for item_id in tuple(self._active):
             if not self._progress[item_id].entry.open:
                 self.cancel(item_id)
@@ -103,7 +103,7 @@
         if not candidates:
             return None
         item_id = max(
-            candidates, key=lambda candidate: preemption_rank(slacks[candidate])
+            candidates, key=lambda candidate: preemption_key(slacks[candidate])
         )
         upstream = self._active[item_id].upstream.id
         events.emit(
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -23,8 +23,8 @@
 from gentiantrestle.gateway.routing import choose_service
 from gentiantrestle.store.client import StoreUnavailableError
 
-# Longest time between two scheduling rounds while items run or wait; a freed
-# slot starts a round at once.
+# Longest time between two scheduling rounds while items run or wait; a finished
+# item starts a round at once.
 BUSY_INTERVAL = 0.1  # seconds
 IDLE_INTERVAL = 0.4  # seconds, while no item runs or waits
 # Delay before an item that an upstream refused or lost is run again, and
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -38,7 +38,7 @@
     spec: ItemSpec
 
     @property
-    def rank(self) -> tuple[bool, int]:
+    def priority_key(self) -> tuple[bool, int]:
         """Order items: those that can be in time, the shortest first."""
         return self.slack < 0, self.tokens_left
 
@@ -120,8 +120,8 @@
     return slack < 0 or slack > MIN_PREEMPTION_SLACK
 
 
-def preemption_rank(slack: float) -> tuple[bool, float]:
-    """Order items for preemption: the highest rank is preempted first."""
+def preemption_key(slack: float) -> tuple[bool, float]:
+    """Order items for preemption: the highest key is preempted first."""
     return slack < 0, slack
 
 
@@ -160,4 +160,4 @@
         for spec in entry.unfinished_items()
         if spec.id not in busy
     ]
-    return sorted(found, key=lambda queued: queued.rank)
+    return sorted(found, key=lambda queued: queued.priority_key)
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -22,7 +22,7 @@
     is_preemptible,
     job_owner,
     owns_job,
-    preemption_rank,
+    preemption_key,
     queued_items,
     start_budget,
 )
@@ -137,7 +137,7 @@
     assert not index.entries['job1'].sole_writer
 
 
-async def test_ended_job_keeps_its_results_and_stays_ended() -> None:
+async def test_cancelled_job_keeps_its_results() -> None:
     store = MemoryStore()
     job_store, index = _instance(store)
     await job_store.accept(make_job())
@@ -149,7 +149,7 @@
     assert not await job_store.cancel('unknown')
 
 
-async def test_end_raises_while_store_is_unavailable() -> None:
+async def test_cancel_raises_while_store_is_unavailable() -> None:
     store = MemoryStore()
     job_store, _ = _instance(store)
     store.down = True
@@ -220,7 +220,7 @@
     assert is_preemptible(5)
     assert not is_preemptible(0.5)
     assert is_preemptible(-1)
-    assert preemption_rank(-1) > preemption_rank(9) > preemption_rank(5)
+    assert preemption_key(-1) > preemption_key(9) > preemption_key(5)
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_process_jobs.py
+++ b/tests/gateway/test_process_jobs.py
@@ -83,7 +83,7 @@
     assert len(runs) == 3
 
 
-async def test_ending_a_job_cancels_its_runs(fleet: GatewayFleet) -> None:
+async def test_cancelled_job_stops_running(fleet: GatewayFleet) -> None:
     slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
     await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow))
     await until(lambda: busy(fleet))
@@ -92,7 +92,7 @@
             1, 'end', '/gentiantrestle/lots/job1', method='DELETE'
         )
         assert reply.status == 200
-    # Without the end the items would run for 20 s.
+    # Without the cancellation the items would run for 20 s.
     await until(lambda: idle(fleet), timeout=5)
 
 
