--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -102,7 +102,7 @@
             self._parts.admission.waiting,
             tuple(self._ended_jobs),
             tuple(self._parts.runner.taken_over),
-            self._parts.runner.waiting,
+            self._parts.runner.backlog,
             revisions.upstreams_revision,
             revisions.jobs_revision,
             revisions.upstreams_fingerprint,
@@ -112,7 +112,7 @@
         for run in notices.taken_over_runs:
             self._parts.index.note_takeover(run)
         for job in notices.ended_jobs:
-            self._parts.index.end(job)
+            self._parts.index.cancel(job)
         self._parts.runner.run_table.preempt_overbooked()
         self._parts.admission.dispatch()
 
