--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -1,4 +1,4 @@
-"""Forwards one caller's request until it has its one answer."""
+"""Forwards a request to upstreams, with retries, until it is answered."""
 
 import asyncio
 from collections.abc import Callable
@@ -35,14 +35,14 @@
 OK = 200
 SERVER_ERROR = 500
 CONTENT_LENGTH = b'content-length'
-# An idempotent request that an upstream leaves without any byte this many
-# latency targets long goes elsewhere; callers leave after two seconds.
+# An idempotent request is retried elsewhere if the upstream sends nothing for
+# this many latency targets. Callers abandon a silent stream after 2 s.
 STALL_TIMEOUT_TARGETS = 3.0
 MAX_STALL_TIMEOUT = 1.0  # seconds
 
 
 class ForwardingContext(NamedTuple):
-    """What requests are forwarded with."""
+    """What a forwarder works with; ``now`` is a monotonic clock in s."""
 
     admission: Admission
     placement: Placement
@@ -50,28 +50,28 @@
     now: Callable[[], float]
 
 
-class ErrorResponse(NamedTuple):
-    """An upstream's own answer that is not a success."""
+class HeldResponse(NamedTuple):
+    """A complete upstream response, held back while a retry may follow."""
 
     reply: Reply
     body: bytes
 
 
 class AttemptFailedError(Exception):
-    """An attempt came to nothing; carries how, to the loop that decides."""
+    """An attempt ended without a response that could be forwarded."""
 
     def __init__(self, outcome: AttemptOutcome, reason: str) -> None:
-        """Keep the outcome; the reason goes to the log."""
+        """Keep the outcome, and the reason for the log and the refusal."""
         super().__init__(reason)
         self.outcome = outcome
         self.reason = reason
 
 
 class Forwarder:
-    """Answers requests by way of upstreams."""
+    """Answers requests by forwarding them to upstreams."""
 
     def __init__(self, context: ForwardingContext) -> None:
-        """Take slots from the admission and speak as the dialect says."""
+        """Use the admission, placement and dialect of ``context``."""
         self._context = context
 
     async def answer(
@@ -81,32 +81,35 @@
         service: str,
         exchange: Exchange,
     ) -> str:
-        """Give the caller its one answer; return how it ended."""
-        run = _ForwardedRequest(self._context, req, route, exchange)
+        """Answer the exchange; return the outcome of the last attempt.
+
+        Raises ``RefusedError`` if the caller still has to be refused.
+        """
+        forwarded = _ForwardedRequest(self._context, req, route, exchange)
         while True:
-            lease = await run.acquire_slot(service)
+            lease = await forwarded.acquire_slot(service)
             try:
-                outcome = await run.attempt(lease)
+                outcome = await forwarded.attempt(lease)
             finally:
                 self._context.admission.release(lease)
             left = req.deadline - self._context.now()
-            step = next_step(outcome, run.progress(), left)
+            step = next_step(outcome, forwarded.progress(), left)
             events.emit(
                 events.ATTEMPT_ENDED,
                 request=req.id,
                 upstream=lease.upstream.id,
                 outcome=outcome.value,
-                reason=run.reason,
+                reason=forwarded.reason,
                 step=step.value,
                 left_ms=round(left * 1000),
             )
             if step is not Step.RETRY:
-                await run.finish(step, outcome)
+                await forwarded.finish(step, outcome)
                 return outcome.value
 
 
 class _ForwardedRequest:
-    """The state of one request on its way."""
+    """The state of one request over all its attempts."""
 
     def __init__(
         self,
@@ -122,14 +125,18 @@
         self._tried: frozenset[str] = frozenset()
         self._progress = RequestProgress(route.idempotent, route.max_attempts)
         self._splitter = EventSplitter(req.last_event)
-        self._failure: ErrorResponse | None = None
+        self._held_response: HeldResponse | None = None
         self.reason = ''
 
     def progress(self) -> RequestProgress:
         return self._progress._replace(response_started=self._exchange.started)
 
     async def acquire_slot(self, service: str) -> SlotLease:
-        """Take a slot on an upstream that was not tried yet."""
+        """Take a slot, if possible on an upstream that was not tried yet.
+
+        Raises ``RefusedError``; it reports an unknown outcome if an earlier
+        attempt may have been executed.
+        """
         wanted = SlotRequest(self._req, self._route, service, self._tried)
         try:
             lease = await self._context.admission.acquire(wanted)
@@ -143,7 +150,7 @@
         return lease
 
     async def attempt(self, lease: SlotLease) -> AttemptOutcome:
-        """Try one upstream; note what it context for its health."""
+        """Try one upstream and update its health record."""
         health = self._context.placement.health(lease.upstream.id)
         outcome = await self._run_attempt(lease)
         if outcome in {AttemptOutcome.LOST, AttemptOutcome.UNREACHED}:
@@ -153,11 +160,11 @@
         return outcome
 
     async def finish(self, step: Step, outcome: AttemptOutcome) -> None:
-        """Give the final answer where the upstream's was none."""
+        """End the exchange after the last attempt; may raise a refusal."""
         if step is Step.CUT:
             self._exchange.abort()
-        elif step is Step.PASS_ON and self._failure is not None:
-            reply, body = self._failure
+        elif step is Step.PASS_ON and self._held_response is not None:
+            reply, body = self._held_response
             await self._exchange.respond(reply.status, reply.headers, body)
         elif step is not Step.FINISH:
             raise self._refusal(step, outcome)
@@ -165,19 +172,19 @@
     def _refusal(self, step: Step, outcome: AttemptOutcome) -> RefusedError:
         if step is Step.REFUSE:
             now = self._context.now()
-            pause = retry_after_seconds(MIN_RETRY_AFTER, self._req, now)
-            return refuse(NO_UPSTREAM, self.reason, pause)
+            delay = retry_after_seconds(MIN_RETRY_AFTER, self._req, now)
+            return refuse(NO_UPSTREAM, self.reason, delay)
         if outcome is AttemptOutcome.EXPIRED:
             return refuse(ANSWER_TIMEOUT, self.reason)
         return refuse(UPSTREAM_UNSURE, self.reason)
 
     async def _run_attempt(self, lease: SlotLease) -> AttemptOutcome:
-        sending = UpstreamConnection(self._context.dialect)
+        conn = UpstreamConnection(self._context.dialect)
         left = self._req.deadline - self._context.now()
         self.reason = ''
         try:
             async with asyncio.timeout(left):
-                await self._send(sending, lease)
+                await self._send(conn, lease)
         except AttemptFailedError as exc:
             self.reason = exc.reason
             return exc.outcome
@@ -185,64 +192,65 @@
             self.reason = 'deadline'
             return AttemptOutcome.EXPIRED
         finally:
-            sending.close()
+            conn.close()
         return AttemptOutcome.DONE
 
-    async def _send(
-        self, sending: UpstreamConnection, lease: SlotLease
-    ) -> None:
-        counts = self._progress
-        self._progress = counts._replace(refusals=counts.refusals + 1)
+    async def _send(self, conn: UpstreamConnection, lease: SlotLease) -> None:
+        before = self._progress
+        self._progress = before._replace(refusals=before.refusals + 1)
         try:
-            await sending.connect(lease.upstream)
+            await conn.connect(lease.upstream)
         except LinkRefusedError as exc:
             raise AttemptFailedError(
                 AttemptOutcome.UNREACHED, repr(exc)
             ) from exc
-        # From here on it may have run, until the upstream says otherwise.
-        self._progress = counts._replace(runs=counts.runs + 1)
+        # From here on the request counts as executed, unless the upstream
+        # says that it was not.
+        self._progress = before._replace(runs=before.runs + 1)
         try:
             async with asyncio.timeout(self._stall_timeout):
-                reply = await sending.send(self._build_request(lease))
+                reply = await conn.send(self._build_request(lease))
         except (ResponseLostError, TimeoutError) as exc:
             raise AttemptFailedError(AttemptOutcome.LOST, repr(exc)) from exc
         if reply.not_run:
-            self._progress = counts._replace(refusals=counts.refusals + 1)
+            self._progress = before._replace(refusals=before.refusals + 1)
             raise AttemptFailedError(
                 AttemptOutcome.NOT_RUN, f'status {reply.status}'
             )
-        await self._relay_response(sending, reply)
+        await self._relay_response(conn, reply)
 
     async def _relay_response(
-        self, sending: UpstreamConnection, reply: Reply
+        self, conn: UpstreamConnection, reply: Reply
     ) -> None:
         try:
             if self._route.kind is RouteKind.STREAM and reply.status == OK:
-                await self._relay_stream(sending, reply)
+                await self._relay_stream(conn, reply)
             else:
-                await self._relay_whole(sending, reply)
+                await self._relay_whole(conn, reply)
         except (ResponseLostError, EventOrderError) as exc:
             raise AttemptFailedError(AttemptOutcome.LOST, repr(exc)) from exc
 
     async def _relay_whole(
-        self, sending: UpstreamConnection, reply: Reply
+        self, conn: UpstreamConnection, reply: Reply
     ) -> None:
-        body = await sending.read_body(self._stall_timeout)
+        body = await conn.read_body(self._stall_timeout)
         if reply.status >= SERVER_ERROR or self._exchange.started:
-            self._failure = ErrorResponse(reply, body)
+            self._held_response = HeldResponse(reply, body)
             raise AttemptFailedError(
                 AttemptOutcome.FAILED, f'status {reply.status}'
             )
         await self._exchange.respond(reply.status, reply.headers, body)
 
     async def _relay_stream(
-        self, sending: UpstreamConnection, reply: Reply
+        self, conn: UpstreamConnection, reply: Reply
     ) -> None:
         self._splitter = EventSplitter(self._splitter.last_id)
-        async for part in sending.iter_body(self._stall_timeout):
-            whole = b''.join(one.raw for one in self._splitter.feed(part))
-            if whole:
-                await self._write(reply, whole)
+        async for part in conn.iter_body(self._stall_timeout):
+            complete = b''.join(
+                event.raw for event in self._splitter.feed(part)
+            )
+            if complete:
+                await self._write(reply, complete)
         if self._splitter.remainder or not self._exchange.started:
             await self._write(reply, self._splitter.remainder)
         await self._exchange.finish_stream()
@@ -266,7 +274,10 @@
 
     @property
     def _stall_timeout(self) -> float | None:
-        """Longest silence of an upstream, in s; None where it must finish."""
+        """Longest silence of an upstream, in s.
+
+        None if the route is not idempotent: then only the deadline counts.
+        """
         if not self._route.idempotent:
             return None
         return min(
--- a/gentiantrestle/gateway/http_server.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests in turn, answers forwarded, never cut."""
+"""HTTP server for callers: one request at a time on each connection."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,16 +24,20 @@
 CONTENT_LENGTH = b'content-length'
 TRANSFER_ENCODING = b'transfer-encoding'
 CONNECTION_CLOSE = (b'Connection', b'close')
-# How long a refused caller's rest is read, so that a reset does not eat the
-# refusal.
+# After a refusal the connection stays open this long, so that a reset does
+# not discard the refusal before the caller has read it.
 LINGER_TIME = 0.3  # seconds
 
 
 class Exchange:
-    """One request of a caller, and the one answer it gets."""
+    """One request of a caller and its one response.
+
+    ``started`` and ``finished`` tell how far the response has been sent.
+    With ``close_after`` it announces the end of the connection.
+    """
 
     def __init__(self, link: Link, head: h11.Request, body: bytes) -> None:
-        """Take the whole request; nothing is answered yet."""
+        """Take the complete request; nothing has been sent yet."""
         self.head = head
         self.body = body
         self.started = False
@@ -47,7 +51,7 @@
         headers: HeaderPairs,
         body: bytes = b'',
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response; sets Content-Length."""
         length = (CONTENT_LENGTH, str(len(body)).encode())
         fields = [pair for pair in headers if pair[0].lower() != CONTENT_LENGTH]
         self.started = True
@@ -64,24 +68,24 @@
         headers: HeaderPairs,
         first: bytes,
     ) -> None:
-        """Send the head and the first part of a streamed answer."""
+        """Send the head and the first part of a streamed response."""
         self.started = True
         await self._link.send(
             self._build_head(status, headers),
             h11.Data(data=first),
         )
 
-    async def send_part(self, piece: bytes) -> None:
-        """Pass one more part on."""
-        await self._link.send(h11.Data(data=piece))
+    async def send_part(self, part: bytes) -> None:
+        """Send one more part of a streamed response."""
+        await self._link.send(h11.Data(data=part))
 
     async def finish_stream(self) -> None:
-        """Mark a streamed answer as complete."""
+        """Complete a streamed response."""
         await self._link.send(h11.EndOfMessage())
         self.finished = True
 
     def abort(self) -> None:
-        """End the connection so that the answer does not look complete."""
+        """Reset the connection, so that the response looks incomplete."""
         self._link.abort()
 
     def _build_head(self, status: int, headers: HeaderPairs) -> h11.Response:
@@ -100,7 +104,10 @@
 
 
 class HttpServer:
-    """Accepts callers and stops without cutting a request."""
+    """Serves callers; can stop without cutting a request.
+
+    While ``stopping`` is set, each response ends its connection.
+    """
 
     def __init__(
         self,
@@ -108,7 +115,7 @@
         write_refusal: RefusalWriter,
         limits: Callable[[], CallerLimits],
     ) -> None:
-        """Answer with ``handle`` within the limits in force."""
+        """Answer with ``handle``; ``limits`` returns those in force."""
         self._handle = handle
         self._write_refusal = write_refusal
         self._limits = limits
@@ -119,11 +126,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Count the requests that are being answered."""
+        """Count the connections with a request in flight."""
         return len(self._busy)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen for callers."""
+        """Listen for callers at an address and port."""
         self._server = await asyncio.get_running_loop().create_server(
             self._create_link,
             host,
@@ -132,7 +139,7 @@
         )
 
     def close_idle(self) -> None:
-        """Stop listening and close the connections without a request."""
+        """Stop listening and close the connections that are idle."""
         if self._server is not None:
             self._server.close()
         for link in tuple(self._links):
@@ -187,7 +194,9 @@
             async with asyncio.timeout(limits.header_timeout):
                 event = await self._read_event(link)
         except TimeoutError:
-            raise refuse(TIMED_OUT, 'The header came too slowly') from None
+            raise refuse(
+                TIMED_OUT, 'The request header was not complete in time'
+            ) from None
         return event if isinstance(event, h11.Request) else None
 
     async def _read_body(self, link: Link, head: h11.Request) -> bytes:
@@ -207,9 +216,12 @@
                     break
                 body += event.data
                 if len(body) > limit:
-                    raise refuse(TOO_LARGE, f'The body is above {limit} bytes')
+                    raise refuse(
+                        TOO_LARGE,
+                        f'The request body exceeds {limit} bytes',
+                    )
         if not isinstance(event, h11.EndOfMessage):
-            raise LinkLostError('body cut')
+            raise LinkLostError('connection ended within the request body')
         return bytes(body)
 
     async def _read_event(self, link: Link) -> h11.Event:
@@ -217,14 +229,16 @@
             return await link.event()
         except h11.RemoteProtocolError as exc:
             if link.ended:
-                raise LinkLostError('cut') from exc
+                raise LinkLostError('connection ended by the caller') from exc
             kind = BAD_REQUEST
             if exc.error_status_hint == HEADERS_TOO_LARGE.status:
                 kind = HEADERS_TOO_LARGE
-            raise refuse(kind, f'Not valid HTTP: {exc}') from None
+            raise refuse(
+                kind, f'The request is not valid HTTP: {exc}'
+            ) from None
 
     async def _run_handler(self, link: Link, exchange: Exchange) -> None:
-        """Run the handler; it is cancelled when its caller leaves."""
+        """Run the handler; cancel it if the caller disconnects."""
         task = asyncio.create_task(self._handle_safely(exchange))
         link.cancel_on_leave(task)
         try:
@@ -232,7 +246,7 @@
         except asyncio.CancelledError:
             if not link.gone:
                 raise
-            raise LinkLostError('caller left') from None
+            raise LinkLostError('the caller disconnected') from None
         finally:
             link.cancel_on_leave(None)
 
@@ -251,11 +265,13 @@
             if exchange.started:
                 exchange.abort()
                 return
-            failure = refuse(INTERNAL, 'The request failed inside').refusal
+            failure = refuse(
+                INTERNAL, 'The request failed with an internal error'
+            ).refusal
             await exchange.respond(*self._write_refusal(failure))
 
     async def _send_refusal(self, link: Link, refusal: Refusal) -> None:
-        """Refuse what is not a whole request, and close."""
+        """Refuse an invalid or incomplete request and close."""
         status, headers, body = self._write_refusal(refusal)
         events.emit(events.CALLER_REFUSED, status=status, reason=refusal.reason)
         fields = [
@@ -274,12 +290,12 @@
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Refuse a request whose end two fields tell differently."""
+    """Refuse a request with two header fields that both define its end."""
     names = [name.lower() for name, _ in head.headers]
     if CONTENT_LENGTH in names and TRANSFER_ENCODING in names:
         raise refuse(
             BAD_REQUEST,
-            'Content-Length and Transfer-Encoding stand together',
+            'The request has both Content-Length and Transfer-Encoding',
         )
 
 
--- a/gentiantrestle/gateway/upstream_connection.py
+++ b/gentiantrestle/gateway/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One request on one connection to one upstream."""
+"""A connection to an upstream that carries one request."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,17 +15,17 @@
     open_link,
 )
 
-# Two round trips between regions, with room for a lost packet.
+# Two round trips between regions, with time for one lost packet.
 CONNECT_TIMEOUT = 0.3  # seconds
 MAX_HEADER_SIZE = 65536  # bytes
 
 
 class ResponseLostError(Exception):
-    """No genuine whole answer came; the request may have run."""
+    """No complete, genuine response came; the request may have run."""
 
 
 class UpstreamRequest(NamedTuple):
-    """What is sent to an upstream."""
+    """An HTTP request to an upstream."""
 
     request_id: str
     method: str
@@ -35,74 +35,79 @@
 
 
 class UpstreamConnection:
-    """One attempt on the wire; the connection is not used again.
+    """A connection for one attempt; it is not reused.
 
-    A connection of its own for each attempt rules out that bytes of one
-    answer are taken for another's.
+    This way bytes of one response can't be taken for part of another.
     """
 
     def __init__(self, dialect: Dialect) -> None:
-        """Nothing is opened yet."""
+        """Decode responses with ``dialect``; ``connect`` opens the link."""
         self._dialect = dialect
         self._link: Link | None = None
 
     async def connect(self, upstream: Upstream) -> None:
-        """Connect, or raise ``LinkRefusedError``: nothing was sent."""
+        """Connect to ``upstream``.
+
+        Raises ``LinkRefusedError``; then nothing was sent.
+        """
         self._link = await open_link(
             upstream.address, CONNECT_TIMEOUT, MAX_HEADER_SIZE
         )
 
-    async def send(self, message: UpstreamRequest) -> Reply:
-        """Send the request and wait for the head of a genuine answer.
+    async def send(self, req: UpstreamRequest) -> Reply:
+        """Send the request and wait for the head of a genuine response.
 
-        Raises ``ResponseLostError``, and ``LinkRefusedError`` if the request
-        can't be written as HTTP.
+        Raises ``ResponseLostError``, or ``LinkRefusedError`` if the request
+        can't be encoded as HTTP.
         """
-        head = _encode_head(message)
+        head = _encode_head(req)
         try:
             await self._link.send(
-                head, h11.Data(data=message.body), h11.EndOfMessage()
+                head, h11.Data(data=req.body), h11.EndOfMessage()
             )
             reply = await self._read_head()
         except (LinkLostError, h11.ProtocolError) as exc:
             raise ResponseLostError(repr(exc)) from exc
         if not reply.genuine or reply.request_id not in {
             '',
-            message.request_id,
+            req.request_id,
         }:
-            raise ResponseLostError('not the answer to this request')
+            raise ResponseLostError('not a genuine response to this request')
         return reply
 
-    async def iter_body(self, stall: float | None) -> AsyncIterator[bytes]:
-        """Pass the body on until it is whole; raise ``ResponseLostError``.
+    async def iter_body(
+        self, stall_timeout: float | None
+    ) -> AsyncIterator[bytes]:
+        """Yield the parts of the body until it is complete.
 
-        ``stall`` is the longest silence in s; None waits for ever.
+        ``stall_timeout`` is the longest silence in s; None waits forever.
+        Raises ``ResponseLostError``.
         """
-        event = await self._next_body_event(stall)
+        event = await self._next_body_event(stall_timeout)
         while not isinstance(event, h11.EndOfMessage):
             yield bytes(event.data)
-            event = await self._next_body_event(stall)
+            event = await self._next_body_event(stall_timeout)
 
-    async def read_body(self, stall: float | None) -> bytes:
-        """Collect the whole body."""
-        return b''.join([part async for part in self.iter_body(stall)])
+    async def read_body(self, stall_timeout: float | None) -> bytes:
+        """Return the complete body; like ``iter_body`` otherwise."""
+        return b''.join([part async for part in self.iter_body(stall_timeout)])
 
     def close(self) -> None:
-        """Reset the connection; an upstream at work stops."""
+        """Reset the connection; an upstream that is still working stops."""
         if self._link is not None:
             self._link.abort()
 
     async def _next_body_event(
-        self, stall: float | None
+        self, stall_timeout: float | None
     ) -> h11.Data | h11.EndOfMessage:
         try:
-            async with asyncio.timeout(stall):
+            async with asyncio.timeout(stall_timeout):
                 event = await self._link.event()
         except (LinkLostError, h11.ProtocolError, TimeoutError) as exc:
             raise ResponseLostError(repr(exc)) from exc
         if isinstance(event, h11.Data | h11.EndOfMessage):
             return event
-        raise ResponseLostError('closed early')
+        raise ResponseLostError('connection closed before the body ended')
 
     async def _read_head(self) -> Reply:
         while True:
@@ -110,16 +115,16 @@
             if isinstance(event, h11.Response):
                 return self._dialect.read_reply(event)
             if not isinstance(event, h11.InformationalResponse):
-                raise LinkLostError('closed early')
+                raise LinkLostError('connection closed before the response')
 
 
-def _encode_head(message: UpstreamRequest) -> h11.Request:
-    length = (b'content-length', str(len(message.body)).encode())
+def _encode_head(req: UpstreamRequest) -> h11.Request:
+    length = (b'content-length', str(len(req.body)).encode())
     try:
         return h11.Request(
-            method=message.method,
-            target=message.target,
-            headers=[*message.headers, length],
+            method=req.method,
+            target=req.target,
+            headers=[*req.headers, length],
         )
     except h11.LocalProtocolError as exc:
-        raise LinkRefusedError(f'not valid HTTP: {exc}') from exc
+        raise LinkRefusedError(f'the request is not valid HTTP: {exc}') from exc
