--- a/tests/gateway/samples.py
+++ b/tests/gateway/samples.py
@@ -1,4 +1,4 @@
-"""Sample routes, upstreams, calls and jobs."""
+"""Sample routes, upstreams, requests and jobs."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 def make_route(**changes: Any) -> Route:
     """Return a streaming route with some fields changed."""
-    plain = Route(
+    default = Route(
         name='chat',
         host=HOST,
         prefix='/chat/',
@@ -34,7 +34,7 @@
         max_attempts=2,
         resumable=True,
     )
-    return plain._replace(**changes)
+    return default._replace(**changes)
 
 
 def make_batch_route(**changes: Any) -> Route:
@@ -51,29 +51,31 @@
 
 
 def make_table(*routes: Route, version: int = 1) -> RoutingTable:
-    """Return a configuration of some routes."""
+    """Return a configuration with these routes."""
     return RoutingTable(version, routes, {}, CallerLimits())
 
 
 def make_upstream(name: str, **changes: Any) -> Upstream:
-    """Return a ready engine with some fields changed."""
-    plain = Upstream(name, ENGINES, Address('127.0.0.1', 9), 'a1', 8, False, 1)
-    return plain._replace(**changes)
+    """Return an engine that is ready, with some fields changed."""
+    default = Upstream(
+        name, ENGINES, Address('127.0.0.1', 9), 'a1', 8, False, 1
+    )
+    return default._replace(**changes)
 
 
 def make_request(name: str, now: float = 0, **changes: Any) -> Request:
-    """Return a caller's request that came at ``now``."""
-    plain = Request(
+    """Return a caller's request that was received at ``now``."""
+    default = Request(
         name, 'POST', '/chat/1', HOST, (), b'', now, now + 5, False, 0
     )
-    return plain._replace(**changes)
+    return default._replace(**changes)
 
 
 def make_job(name: str = 'job1', count: int = 2, **changes: Any) -> Job:
-    """Return a job with some items."""
+    """Return a job with ``count`` items."""
     specs = tuple(
         ItemSpec(f'{name}-{number}', 100, '/lists/x', {'x-model': 'm'}, b'{}')
         for number in range(count)
     )
-    plain = Job(name, HOST, '/lists/all', 0, 'one/1', specs)
-    return plain._replace(**changes)
+    default = Job(name, HOST, '/lists/all', 0, 'one/1', specs)
+    return default._replace(**changes)
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -1,4 +1,4 @@
-"""Routes, rosters, slots, steps and streams, without a network."""
+"""Decisions of the gateway: routes, slots, retries, events, peers; no I/O."""
 
 import pytest
 
@@ -55,7 +55,7 @@
         ('other.example', '/chat/1', None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(
+def test_match_returns_route_with_longest_prefix_of_host(
     host: str, target: str, name: str | None
 ) -> None:
     router = Router()
@@ -66,7 +66,7 @@
     assert (found and found.name) == name
 
 
-def test_an_older_configuration_never_comes_back() -> None:
+def test_apply_ignores_older_and_equal_versions() -> None:
     router = Router()
     assert router.apply(make_table(make_route(), version=7))
     assert not router.apply(make_table(version=6))
@@ -74,27 +74,29 @@
     assert router.match(HOST, '/chat/1') is not None
 
 
-def test_a_split_keeps_its_weights_and_each_request_its_side() -> None:
+def test_choose_service_follows_weights_and_is_stable_per_request() -> None:
     split = make_route(shares=(Share('old', 90), Share('new', 10)))
-    chosen = [choose_service(split, f'request-{one}') for one in range(2000)]
+    chosen = [
+        choose_service(split, f'request-{number}') for number in range(2000)
+    ]
     assert 140 < chosen.count('new') < 260
     assert choose_service(split, 'request-1') == chosen[1]
 
 
-def test_entries_that_lapse_with_the_store_stay_in_use_for_a_while() -> None:
+def test_upstream_removed_in_store_outage_is_used_for_grace_time() -> None:
     roster = Roster()
     roster.put(make_upstream('u1'))
     roster.note_outage(10)
     roster.remove('u1', 10.5)
-    back = 10 + LAPSE_GRACE
-    assert [one.id for one in roster.usable_upstreams(ENGINES, back - 0.1)] == [
+    grace_end = 10 + LAPSE_GRACE
+    assert [up.id for up in roster.usable_upstreams(ENGINES, grace_end - 0.1)] == [
         'u1'
     ]
-    assert roster.usable_upstreams(ENGINES, back + 0.1) == []
+    assert roster.usable_upstreams(ENGINES, grace_end + 0.1) == []
 
 
 @pytest.mark.parametrize('draining', [True, False])
-def test_a_leaving_upstream_gets_no_new_work(draining: bool) -> None:
+def test_draining_or_removed_upstream_is_not_used(draining: bool) -> None:
     roster = Roster()
     roster.put(make_upstream('u1'))
     if draining:
@@ -104,13 +106,13 @@
     assert roster.usable_upstreams(ENGINES, 0) == []
 
 
-def _placement() -> tuple[Placement, LoadBoard]:
+def _make_placement() -> tuple[Placement, LoadBoard]:
     board = LoadBoard()
     return Placement(Topology('a1', ZONES), board, lambda: 0), board
 
 
-def test_a_near_slot_goes_before_a_far_one_until_it_is_taken() -> None:
-    placement, board = _placement()
+def test_choose_prefers_own_zone_until_its_slots_are_taken() -> None:
+    placement, board = _make_placement()
     near, far = make_upstream('near'), make_upstream('far', zone='b1')
     assert placement.choose([far, near], 0) == near
     board.add('near', online=8)
@@ -119,16 +121,16 @@
     assert placement.choose([far, near], 0) is None
 
 
-def test_what_peers_told_counts_until_it_is_stale() -> None:
-    placement, board = _placement()
-    one = make_upstream('u1')
+def test_load_of_peer_counts_until_it_is_stale() -> None:
+    placement, board = _make_placement()
+    upstream = make_upstream('u1')
     board.set_peer_report('peer', LoadReport(0, {'u1': Load(8, 0)}, 0))
-    assert placement.choose([one], STALE_AFTER / 2) is None
-    assert placement.choose([one], STALE_AFTER + 0.1) == one
+    assert placement.choose([upstream], STALE_AFTER / 2) is None
+    assert placement.choose([upstream], STALE_AFTER + 0.1) == upstream
 
 
-def test_an_upstream_that_refuses_connections_rests() -> None:
-    placement, _ = _placement()
+def test_upstream_is_suspended_after_two_failures_unless_it_is_alone() -> None:
+    placement, _ = _make_placement()
     bad, good = make_upstream('bad'), make_upstream('good', zone='b1')
     for _ in range(2):
         placement.health('bad').record_failure(0, 0)
@@ -137,7 +139,7 @@
 
 
 STEPS = [
-    # outcome, idempotent, runs, refusals, begun, step
+    # outcome, idempotent, runs, refusals, response_started, step
     (AttemptOutcome.NOT_RUN, False, 0, 1, False, Step.RETRY),
     (AttemptOutcome.NOT_RUN, False, 0, 4, False, Step.REFUSE),
     (AttemptOutcome.LOST, False, 1, 0, False, Step.ANSWER_UNKNOWN),
@@ -154,92 +156,96 @@
 
 
 @pytest.mark.parametrize(
-    ('outcome', 'idempotent', 'runs', 'refusals', 'begun', 'step'), STEPS
+    ('outcome', 'idempotent', 'runs', 'refusals', 'response_started', 'step'),
+    STEPS,
 )
-def test_what_may_have_run_is_never_called_not_run(
+def test_next_step_by_outcome_and_progress(
     outcome: AttemptOutcome,
     idempotent: bool,
     runs: int,
     refusals: int,
-    begun: bool,
+    response_started: bool,
     step: Step,
 ) -> None:
-    so_far = RequestProgress(idempotent, 2, runs, refusals, begun)
-    assert next_step(outcome, so_far, 1.0) is step
+    progress = RequestProgress(idempotent, 2, runs, refusals, response_started)
+    assert next_step(outcome, progress, 1.0) is step
 
 
-def test_those_that_came_back_go_first() -> None:
-    line = AdmissionQueue()
-    for name, returned in (('new', False), ('back', True)):
-        one = make_request(name, is_retry=returned)
-        line.add(one, wait_limit(one, make_route(), 0), 0, 0)
-    gone = line.peek()
-    assert gone is not None
-    assert gone.request.id == 'back'
-    line.remove(gone)
-    assert [ticket.request.id for ticket in iter(line.pop, None)] == ['new']
+def test_queue_serves_retries_first() -> None:
+    queue = AdmissionQueue()
+    for name, is_retry in (('new', False), ('retry', True)):
+        req = make_request(name, is_retry=is_retry)
+        queue.add(req, wait_limit(req, make_route(), 0), 0, 0)
+    first = queue.peek()
+    assert first is not None
+    assert first.request.id == 'retry'
+    queue.remove(first)
+    assert [entry.request.id for entry in iter(queue.pop, None)] == ['new']
 
 
-def test_a_new_request_waits_within_its_target_and_no_longer() -> None:
+def test_wait_limit_is_below_target_and_longer_for_retries() -> None:
     assert 0 < wait_limit(make_request('c'), make_route(), 0).seconds < 0.3
-    back = wait_limit(make_request('c', is_retry=True), make_route(), 0)
-    assert 0.3 < back.seconds < 2
+    limit = wait_limit(make_request('c', is_retry=True), make_route(), 0)
+    assert 0.3 < limit.seconds < 2
 
 
-def test_retry_after_stays_within_a_third_of_the_time_left() -> None:
+def test_retry_after_is_positive_and_at_most_a_third_of_time_left() -> None:
     assert retry_after_seconds(9, make_request('c'), 0) <= 5 / 3
     assert retry_after_seconds(0, make_request('c'), 0) > 0
 
 
-def test_events_are_passed_on_whole() -> None:
+def test_splitter_returns_complete_events_only() -> None:
     splitter = EventSplitter(0)
     assert splitter.feed(b'id: 1\ndata: a') == []
     found = splitter.feed(b'\n\nid: 2\ndata: b\n\nid: 3')
-    assert [(one.event_id, one.data) for one in found] == [(1, 'a'), (2, 'b')]
+    assert [(event.event_id, event.data) for event in found] == [
+        (1, 'a'),
+        (2, 'b'),
+    ]
     assert splitter.last_id == 2
     assert splitter.remainder == b'id: 3'
 
 
-def test_a_stream_that_goes_back_is_not_passed_on() -> None:
+def test_splitter_raises_if_event_id_does_not_increase() -> None:
     splitter = EventSplitter(4)
     with pytest.raises(EventOrderError):
         splitter.feed(b'id: 4\ndata: a\n\n')
 
 
-def _peer(name: str, **changes: object) -> Peer:
-    plain = Peer(name, 1, 1, f'10.0.0.{name}', 'a1', False, 3, True, 0)
-    return plain._replace(**changes)
+def _make_peer(name: str, **changes: object) -> Peer:
+    default = Peer(name, 1, 1, f'10.0.0.{name}', 'a1', False, 3, True, 0)
+    return default._replace(**changes)
 
 
-def test_silence_ends_a_run_and_a_restart_is_another_run() -> None:
+def test_restart_replaces_run_and_silence_removes_it() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    assert peers.update(_peer('1'))
-    assert not peers.update(_peer('1', sequence=1))
+    assert peers.update(_make_peer('1'))
+    assert not peers.update(_make_peer('1', sequence=1))
     assert peers.working_runs(0) == ('1/1',)
-    assert peers.update(_peer('1', incarnation=2, sequence=1))
+    assert peers.update(_make_peer('1', incarnation=2, sequence=1))
     assert peers.working_runs(0) == ('1/2',)
     assert peers.remove_silent(SILENCE_TIMEOUT + 1)
     assert peers.working_runs(SILENCE_TIMEOUT + 1) == ()
 
 
-def test_a_lost_instance_leaves_doubt_until_it_is_back() -> None:
+def test_not_settled_from_loss_of_instance_until_its_return() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.update(_peer('1'))
+    peers.update(_make_peer('1'))
     peers.remove_silent(SILENCE_TIMEOUT + 1)
     assert not peers.no_recent_losses(10)
-    peers.update(_peer('1', incarnation=2, last_heard=11))
+    peers.update(_make_peer('1', incarnation=2, last_heard=11))
     assert peers.no_recent_losses(11)
 
 
-def test_one_that_leaves_on_purpose_leaves_no_doubt() -> None:
+def test_settled_after_announced_leave_of_instance() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.update(_peer('1', leaving=True))
+    peers.update(_make_peer('1', leaving=True))
     assert peers.working_runs(0) == ()
     peers.remove_silent(SILENCE_TIMEOUT + 1)
     assert peers.no_recent_losses(10)
 
 
-def test_news_goes_out_when_it_is_due_and_is_repeated() -> None:
+def test_change_is_sent_after_min_gap_and_repeated_after_max_gap() -> None:
     rhythm = SendSchedule()
     gap = MIN_INTERVAL
     assert rhythm.is_due('a', gap, 0)
@@ -249,7 +255,7 @@
     assert rhythm.is_due('b', gap, 0.05 + MAX_INTERVAL)
 
 
-def test_many_others_are_told_less_often() -> None:
+def test_change_waits_longer_with_many_far_instances() -> None:
     rhythm = SendSchedule()
     gap = remote_interval(53)
     assert gap > 1
@@ -258,42 +264,41 @@
     assert rhythm.is_due('b', gap, gap)
 
 
-def test_a_small_fleet_is_told_as_often_as_a_zone() -> None:
+def test_gap_to_other_zones_of_small_fleet_is_min_gap() -> None:
     assert remote_interval(6) == MIN_INTERVAL
 
 
-def test_rare_news_of_other_zones_is_no_silence() -> None:
+def test_instances_of_other_zones_are_lost_after_longer_silence() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
-    peers.update(_peer('near'))
+    peers.update(_make_peer('near'))
     for number in range(53):
-        peers.update(_peer(f'far{number}', zone='b1'))
-    assert [
-        one.instance for one in peers.remove_silent(SILENCE_TIMEOUT + 0.1)
+        peers.update(_make_peer(f'far{number}', zone='b1'))
+    assert [peer.instance for peer in peers.remove_silent(SILENCE_TIMEOUT + 0.1)
     ] == ['near']
     assert len(peers.remove_silent(remote_silence_timeout(53) + 0.1)) == 53
 
 
-def test_a_zone_has_a_speaker_whether_or_not_it_hears_the_store() -> None:
+def test_speakers_are_first_live_instances_even_without_store() -> None:
     peers = PeerList('m', '10.0.0.9', 'a1', ())
     for name, zone in (('n', 'a1'), ('x', 'b1'), ('y', 'b1'), ('z', 'b1')):
-        peers.update(_peer(name, zone=zone, store_reached=False))
+        peers.update(_make_peer(name, zone=zone, store_reached=False))
     assert peers.is_aggregator(1)
-    assert [one.instance for one in peers.remote_aggregators(1)] == ['x', 'y']
-    peers.update(_peer('a', last_heard=1))
+    assert [peer.instance for peer in peers.remote_aggregators(1)] == ['x', 'y']
+    peers.update(_make_peer('a', last_heard=1))
     assert not peers.is_aggregator(1)
     assert peers.is_aggregator(1 + SILENCE_TIMEOUT)
-    peers.update(_peer('a', sequence=2, last_heard=1, leaving=True))
+    peers.update(_make_peer('a', sequence=2, last_heard=1, leaving=True))
     assert peers.is_aggregator(1)
 
 
-def test_zones_are_added_up_without_counting_twice() -> None:
+def test_sum_of_loads_skips_stale_peers_and_keeps_tightest_batch() -> None:
     board = LoadBoard()
     board.set_peer_report(
         'a', LoadReport(0, {'u1': Load(1, 2)}, 3, BatchBacklog(4, 2.0))
     )
     board.set_peer_report('b', LoadReport(0, {'u1': Load(1), 'u2': Load(5)}, 1))
     board.set_peer_report('old', LoadReport(-9, {'u1': Load(7)}, 9))
-    told = board.combine_peers(['a', 'b', 'old', 'unknown'], 0.5)
-    assert told.loads == {'u1': Load(2, 2), 'u2': Load(5)}
-    assert told.waiting == 4
-    assert told.batch_backlog == BatchBacklog(4, 2.0)
+    total = board.combine_peers(['a', 'b', 'old', 'unknown'], 0.5)
+    assert total.loads == {'u1': Load(2, 2), 'u2': Load(5)}
+    assert total.waiting == 4
+    assert total.batch_backlog == BatchBacklog(4, 2.0)
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -1,4 +1,4 @@
-"""Plays of the heaviest load on virtual time: what do callers get?"""
+"""Simulates heavy load in virtual time and checks what callers get."""
 
 import asyncio
 import random
@@ -28,163 +28,171 @@
 SLOTS = 8
 RUN_TIME = 0.7  # seconds a request holds its slot
 TARGET = 0.3  # seconds to the first event
-IN_TIME_SHARE = 0.95  # the users' target for first tokens
-PLAY_TIME = 20.0  # seconds
-AT_ONCE = TARGET / 4  # seconds: what callers take as an early refusal
+IN_TIME_SHARE = 0.95  # required share of first events within the target
+SIMULATED_TIME = 20.0  # seconds
+EARLY_REFUSAL = TARGET / 4  # seconds that callers accept for a refusal
 CAPACITY = ENGINE_COUNT * SLOTS / RUN_TIME  # requests a second
 
 
 class Outcome(NamedTuple):
-    """What one caller got, and how long it waited for that, in s."""
+    """Whether a caller was served, and how long it waited, in s."""
 
     served: bool
     waited: float
 
 
 class Engine:
-    """Admits requests in order of arrival onto its slots."""
+    """An upstream that runs requests on its slots in order of arrival."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start with all slots free."""
         self._slots = asyncio.Semaphore(SLOTS)
 
     async def run(self) -> float:
-        """Run one request; return when it began."""
+        """Run one request; return its start time in s."""
         async with self._slots:
-            began = virtual_now()
+            started_at = virtual_now()
             await asyncio.sleep(RUN_TIME)
-            return began
+            return started_at
 
 
 class Fleet:
-    """Instances that hear of each other's loads late."""
+    """Instances that learn of each other's loads with a delay."""
 
-    def __init__(self, chance: Callable[[], float], lag: float) -> None:
-        """Tell loads every ``lag`` s."""
-        self.engines = {f'e{one}': Engine() for one in range(ENGINE_COUNT)}
+    def __init__(self, rand: Callable[[], float], lag: float) -> None:
+        """Share loads every ``lag`` s; ``rand`` is for the placement."""
+        self.engines = {
+            f'e{number}': Engine() for number in range(ENGINE_COUNT)
+        }
         self._lag = lag
         self._boards = [LoadBoard() for _ in range(INSTANCES)]
         self.admissions = [
-            self._admission(board, chance) for board in self._boards
+            self._make_admission(board, rand) for board in self._boards
         ]
 
     async def gossip(self) -> None:
-        """Tell every board what the others run, again and again."""
+        """Copy the loads of each instance to the others until cancelled."""
         while True:
-            for teller in range(INSTANCES):
-                self._tell(teller)
+            for sender in range(INSTANCES):
+                self._share_loads(sender)
             for admission in self.admissions:
                 admission.dispatch()
             await asyncio.sleep(self._lag)
 
-    async def ask(self, instance: int, name: str) -> Outcome:
-        """Send one request by way of an instance."""
-        came = virtual_now()
+    async def request(self, instance: int, name: str) -> Outcome:
+        """Send one request to an instance."""
+        arrived = virtual_now()
         admission = self.admissions[instance]
-        wanted = SlotRequest(make_request(name, came), make_route(), ENGINES)
+        slot_request = SlotRequest(
+            make_request(name, arrived), make_route(), ENGINES
+        )
         try:
-            lease = await admission.acquire(wanted)
+            lease = await admission.acquire(slot_request)
         except RefusedError as exc:
             assert exc.refusal.retry_after
-            return Outcome(False, virtual_now() - came)
-        return await self._run(admission, lease, came)
+            return Outcome(False, virtual_now() - arrived)
+        return await self._run(admission, lease, arrived)
 
     async def _run(
-        self, admission: Admission, lease: SlotLease, came: float
+        self, admission: Admission, lease: SlotLease, arrived: float
     ) -> Outcome:
-        began = await self.engines[lease.upstream.id].run()
+        started_at = await self.engines[lease.upstream.id].run()
         admission.release(lease)
-        return Outcome(True, began - came)
-
-    def _tell(self, teller: int) -> None:
-        own = self._boards[teller]
-        waiting = self.admissions[teller].waiting
-        told = LoadReport(virtual_now(), dict(own.own_loads), waiting)
-        for hearer in self._boards:
-            if hearer is not own:
-                hearer.set_peer_report(f'i{teller}', told)
-
-    def _admission(
-        self, board: LoadBoard, chance: Callable[[], float]
+        return Outcome(True, started_at - arrived)
+
+    def _share_loads(self, sender: int) -> None:
+        source = self._boards[sender]
+        waiting = self.admissions[sender].waiting
+        report = LoadReport(virtual_now(), dict(source.own_loads), waiting)
+        for board in self._boards:
+            if board is not source:
+                board.set_peer_report(f'i{sender}', report)
+
+    def _make_admission(
+        self, board: LoadBoard, rand: Callable[[], float]
     ) -> Admission:
         roster = Roster()
         for name in self.engines:
             roster.put(make_upstream(name, slots=SLOTS))
-        placement = Placement(Topology('a1', ZONES), board, chance)
+        placement = Placement(Topology('a1', ZONES), board, rand)
         return Admission(roster, board, placement, virtual_now)
 
 
-def play_load(
+def simulate_load(
     share: float, *, spread: bool = True, lag: float = 0.05
 ) -> list[Outcome]:
-    """Send ``share`` of what all slots can take, at random instances."""
+    """Send ``share`` of the capacity to random instances.
+
+    Without ``spread`` the placement uses no random cost.
+    """
 
     async def run() -> list[Outcome]:
         rng = random.Random(7)
         fleet = Fleet(rng.random if spread else lambda: 0, lag)
-        telling = asyncio.create_task(fleet.gossip())
-        asked = []
-        while virtual_now() < PLAY_TIME:
+        gossip_task = asyncio.create_task(fleet.gossip())
+        requests = []
+        while virtual_now() < SIMULATED_TIME:
             await asyncio.sleep(rng.expovariate(CAPACITY * share))
-            name = f'r{len(asked)}'
+            name = f'r{len(requests)}'
             instance = rng.randrange(INSTANCES)
-            asked.append(asyncio.create_task(fleet.ask(instance, name)))
-        found = await asyncio.gather(*asked)
-        telling.cancel()
-        return found
+            requests.append(asyncio.create_task(fleet.request(instance, name)))
+        outcomes = await asyncio.gather(*requests)
+        gossip_task.cancel()
+        return outcomes
 
     return play(run())
 
 
 def in_time(outcomes: list[Outcome]) -> float:
     """Return the share of callers that were served within the target."""
-    good = [one for one in outcomes if one.served and one.waited <= TARGET]
+    good = [each for each in outcomes if each.served and each.waited <= TARGET]
     return len(good) / len(outcomes)
 
 
-def test_callers_are_served_in_time_while_there_are_slots() -> None:
-    assert in_time(play_load(0.7)) >= IN_TIME_SHARE
+def test_callers_are_served_in_time_below_capacity() -> None:
+    assert in_time(simulate_load(0.7)) >= IN_TIME_SHARE
 
 
-def test_chance_keeps_late_news_from_sending_all_to_one_engine() -> None:
-    spread = in_time(play_load(0.7, lag=0.3))
-    together = in_time(play_load(0.7, lag=0.3, spread=False))
-    assert spread > together
+def test_random_cost_improves_placement_with_stale_loads() -> None:
+    spread = in_time(simulate_load(0.7, lag=0.3))
+    concentrated = in_time(simulate_load(0.7, lag=0.3, spread=False))
+    assert spread > concentrated
 
 
 @pytest.mark.parametrize('share', [1.3, 2.0])
-def test_what_can_t_be_served_is_refused_at_once(share: float) -> None:
-    outcomes = play_load(share)
-    refused = [one.waited for one in outcomes if not one.served]
+def test_requests_above_capacity_are_refused_early(share: float) -> None:
+    outcomes = simulate_load(share)
+    refused = [each.waited for each in outcomes if not each.served]
     assert refused
     assert max(refused) <= TARGET
-    # Most are told on arrival; the rest had a fair chance of a slot.
-    assert median(refused) <= AT_ONCE
-    served = sum(one.served for one in outcomes)
-    assert served >= 0.9 * CAPACITY * PLAY_TIME
+    # Most are refused on arrival; the others could expect a slot in time.
+    assert median(refused) <= EARLY_REFUSAL
+    served = sum(each.served for each in outcomes)
+    assert served >= 0.9 * CAPACITY * SIMULATED_TIME
 
 
-def play_starts(*, ranked: bool) -> int:
-    """Have instances start items on free slots; return how many are too many.
+def simulate_starts(*, ranked: bool) -> int:
+    """Let instances start items; return by how many they exceed free slots.
 
-    Each instance sees the same free slots, and what the others told before.
+    All instances see the same free slots. With ``ranked`` they count the
+    items of the others that go before their own.
     """
     free = 4
-    told = {
-        f'i{one}': LoadReport(0, {}, 0, BatchBacklog(5, 1.0 + one))
-        for one in range(INSTANCES)
+    reports = {
+        f'i{number}': LoadReport(0, {}, 0, BatchBacklog(5, 1.0 + number))
+        for number in range(INSTANCES)
     }
     started = 0
-    for name, own in told.items():
+    for name, own in reports.items():
         board = LoadBoard()
-        for other, said in told.items():
+        for other, report in reports.items():
             if other != name:
-                board.set_peer_report(other, said)
+                board.set_peer_report(other, report)
         ahead = board.batch_ahead(own.batch_backlog, 0) if ranked else 0
         started += min(own.batch_backlog.count, start_budget(free, free, ahead))
     return started - free
 
 
-def test_instances_together_start_no_more_items_than_slots_are_free() -> None:
-    assert play_starts(ranked=True) == 0
-    assert play_starts(ranked=False) > 0
+def test_ranked_instances_start_no_more_items_than_free_slots() -> None:
+    assert simulate_starts(ranked=True) == 0
+    assert simulate_starts(ranked=False) > 0
--- a/tests/gateway/test_logsink.py
+++ b/tests/gateway/test_logsink.py
@@ -1,4 +1,4 @@
-"""A log that nobody reads never blocks, and says what it dropped."""
+"""Tests of the log sink when nothing reads its pipe."""
 
 import asyncio
 import os
@@ -27,7 +27,7 @@
         }
 
 
-async def test_an_unread_pipe_costs_lines_and_not_time() -> None:
+async def test_sink_drops_lines_instead_of_blocking_on_full_pipe() -> None:
     reader, writer = os.pipe()
     sink = LineSink(writer)
     for _ in range(LINES):
