--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -72,23 +72,25 @@
         """Count the requests that wait at this instance."""
         return sum(len(queue) for queue in self._queues.values())
 
-    async def acquire(self, wanted: SlotRequest) -> SlotLease:
+    async def acquire(self, slot_request: SlotRequest) -> SlotLease:
         """Take a slot, waiting in the queue if none is free.
 
         Raises ``RefusedError`` if the expected or the actual wait exceeds
         the request's wait limit.
         """
         now = self._now()
-        queue = self._queues.setdefault(wanted.service, AdmissionQueue())
+        queue = self._queues.setdefault(slot_request.service, AdmissionQueue())
         upstream = (
             None
             if len(queue)
-            else self._find_upstream(wanted.service, wanted.excluded, now)
+            else self._find_upstream(
+                slot_request.service, slot_request.excluded, now
+            )
         )
         if upstream is None:
-            upstream = await self._wait_for_slot(wanted, queue, now)
+            upstream = await self._wait_for_slot(slot_request, queue, now)
         self._board.add(upstream.id, online=1)
-        self._log_placed(wanted, upstream, now)
+        self._log_placed(slot_request, upstream, now)
         return SlotLease(upstream, self._now())
 
     def release(self, lease: SlotLease) -> None:
@@ -148,27 +150,29 @@
 
     async def _wait_for_slot(
         self,
-        wanted: SlotRequest,
+        slot_request: SlotRequest,
         queue: AdmissionQueue,
         now: float,
     ) -> Upstream:
-        limit = wait_limit(wanted.request, wanted.route, now)
-        expected = self._expected_wait(wanted.service, queue, now)
+        limit = wait_limit(slot_request.request, slot_request.route, now)
+        expected = self._expected_wait(slot_request.service, queue, now)
         if expected > limit.seconds:
-            raise self._refusal(wanted, expected, now)
-        entry = queue.add(wanted.request, limit, wanted.route.priority, now)
+            raise self._refusal(slot_request, expected, now)
+        entry = queue.add(
+            slot_request.request, limit, slot_request.route.priority, now
+        )
         fut = asyncio.get_running_loop().create_future()
-        self._futures[wanted.request.id] = fut
+        self._futures[slot_request.request.id] = fut
         try:
             async with asyncio.timeout(limit.seconds):
                 upstream = await fut
         except TimeoutError:
-            raise self._refusal(wanted, expected, self._now()) from None
+            raise self._refusal(slot_request, expected, self._now()) from None
         except asyncio.CancelledError:
             self._return_slot(fut)
             raise
         finally:
-            self._futures.pop(wanted.request.id, None)
+            self._futures.pop(slot_request.request.id, None)
             queue.remove(entry)
         self._board.add(upstream.id, online=-1)
         return upstream
@@ -194,17 +198,17 @@
 
     def _refusal(
         self,
-        wanted: SlotRequest,
+        slot_request: SlotRequest,
         expected: float,
         now: float,
     ) -> RefusedError:
-        req = wanted.request
-        known = self._roster.usable_upstreams(wanted.service, now)
+        req = slot_request.request
+        known = self._roster.usable_upstreams(slot_request.service, now)
         delay = retry_after_seconds(expected, req, now)
         events.emit(
             events.CALL_REFUSED,
             request=req.id,
-            service=wanted.service,
+            service=slot_request.service,
             upstreams=len(known),
             expected_ms=round(expected * 1000),
             retry_after=delay,
@@ -220,19 +224,21 @@
 
     def _log_placed(
         self,
-        wanted: SlotRequest,
+        slot_request: SlotRequest,
         upstream: Upstream,
         now: float,
     ) -> None:
         load = self._board.total_load(upstream.id, now)
         events.emit(
             events.CALL_PLACED,
-            request=wanted.request.id,
+            request=slot_request.request.id,
             upstream=upstream.id,
             online=load.online,
             batch=load.batch,
             roster=self._roster.revision,
-            waited_ms=round((self._now() - wanted.request.received) * 1000),
+            waited_ms=round(
+                (self._now() - slot_request.request.received) * 1000
+            ),
         )
 
 
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -137,9 +137,9 @@
         Raises ``RefusedError``; it reports an unknown outcome if an earlier
         attempt may have been executed.
         """
-        wanted = SlotRequest(self._req, self._route, service, self._tried)
+        slot_request = SlotRequest(self._req, self._route, service, self._tried)
         try:
-            lease = await self._context.admission.acquire(wanted)
+            lease = await self._context.admission.acquire(slot_request)
         except RefusedError as exc:
             if self._exchange.started:
                 self._exchange.abort()
@@ -255,12 +255,12 @@
             await self._write(reply, self._splitter.remainder)
         await self._exchange.finish_stream()
 
-    async def _write(self, reply: Reply, piece: bytes) -> None:
+    async def _write(self, reply: Reply, part: bytes) -> None:
         if self._exchange.started:
-            await self._exchange.send_part(piece)
+            await self._exchange.send_part(part)
             return
         headers = [pair for pair in reply.headers if pair[0] != CONTENT_LENGTH]
-        await self._exchange.start_stream(reply.status, headers, piece)
+        await self._exchange.start_stream(reply.status, headers, part)
 
     def _build_request(self, lease: SlotLease) -> UpstreamRequest:
         req = self._req
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -246,8 +246,10 @@
     def _read_store_connected(self) -> int:
         return int(self._is_connected())
 
-    def _apply_jobs(self, found: Iterable[StoredObject], revision: int) -> None:
-        self._parts.job_store.apply_changes(found, revision)
+    def _apply_jobs(
+        self, stored: Iterable[StoredObject], revision: int
+    ) -> None:
+        self._parts.job_store.apply_changes(stored, revision)
         self._runner.wake()
 
     def _wake_work(self) -> None:
