--- a/gentiantrestle/gateway/placement.py
+++ b/gentiantrestle/gateway/placement.py
@@ -126,7 +126,9 @@
     ) -> list[Upstream]:
         """Leave out suspended upstreams, unless all are suspended."""
         listed = list(upstreams)
-        usable = [each for each in listed if self.health(each.id).is_usable(now)]
+        usable = [
+            each for each in listed if self.health(each.id).is_usable(now)
+        ]
         return usable or listed
 
     def _may_overbook(self, upstream: Upstream, now: float) -> bool:
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -138,9 +138,14 @@
             lambda: self._parts.index.revision,
         )
         sinks = (
-            (WatchSpec(kinds.config, CONFIG_WATCH_PAUSE, read_at_start=True), config),
             (
-                WatchSpec(kinds.upstreams, UPSTREAM_WATCH_PAUSE, read_at_start=True),
+                WatchSpec(kinds.config, CONFIG_WATCH_PAUSE, read_at_start=True),
+                config,
+            ),
+            (
+                WatchSpec(
+                    kinds.upstreams, UPSTREAM_WATCH_PAUSE, read_at_start=True
+                ),
                 upstreams,
             ),
             (WatchSpec(JOB_KIND, JOB_WATCH_PAUSE), jobs),
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -89,9 +89,9 @@
     roster.note_outage(10)
     roster.remove('u1', 10.5)
     grace_end = 10 + LAPSE_GRACE
-    assert [up.id for up in roster.usable_upstreams(ENGINES, grace_end - 0.1)] == [
-        'u1'
-    ]
+    assert [
+        up.id for up in roster.usable_upstreams(ENGINES, grace_end - 0.1)
+    ] == ['u1']
     assert roster.usable_upstreams(ENGINES, grace_end + 0.1) == []
 
 
@@ -273,7 +273,8 @@
     peers.update(_make_peer('near'))
     for number in range(53):
         peers.update(_make_peer(f'far{number}', zone='b1'))
-    assert [peer.instance for peer in peers.remove_silent(SILENCE_TIMEOUT + 0.1)
+    assert [
+        peer.instance for peer in peers.remove_silent(SILENCE_TIMEOUT + 0.1)
     ] == ['near']
     assert len(peers.remove_silent(remote_silence_timeout(53) + 0.1)) == 53
 
