--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -74,7 +74,7 @@
         self._peers = PeerList(
             cfg.instance, cfg.host, cfg.topology.zone, cfg.seeds
         )
-        self._watch_duty = WatcherElection(
+        self._watcher_election = WatcherElection(
             cfg.instance, cfg.topology.zone, self._clock.now()
         )
         self._watch_gate = WatchGate()
@@ -192,7 +192,7 @@
     def _update_watch_duty(self) -> None:
         """Start or stop watching the store on behalf of the zone."""
         now = self._clock.now()
-        duty = self._watch_duty.decide(
+        duty = self._watcher_election.decide(
             self._peers.alive(now), now, connected=self._is_connected()
         )
         if duty == self._watch_gate.is_set():
