--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -245,26 +245,26 @@
     assert peers.no_recent_losses(10)
 
 
-def test_change_is_sent_after_min_gap_and_repeated_after_max_gap() -> None:
-    rhythm = SendSchedule()
-    gap = MIN_INTERVAL
-    assert rhythm.is_due('a', gap, 0)
-    assert not rhythm.is_due('b', gap, 0.01)
-    assert rhythm.is_due('b', gap, 0.05)
-    assert not rhythm.is_due('b', gap, 0.2)
-    assert rhythm.is_due('b', gap, 0.05 + MAX_INTERVAL)
+def test_change_is_sent_after_min_and_repeated_after_max_interval() -> None:
+    schedule = SendSchedule()
+    interval = MIN_INTERVAL
+    assert schedule.is_due('a', interval, 0)
+    assert not schedule.is_due('b', interval, 0.01)
+    assert schedule.is_due('b', interval, 0.05)
+    assert not schedule.is_due('b', interval, 0.2)
+    assert schedule.is_due('b', interval, 0.05 + MAX_INTERVAL)
 
 
 def test_change_waits_longer_with_many_far_instances() -> None:
-    rhythm = SendSchedule()
-    gap = remote_interval(53)
-    assert gap > 1
-    rhythm.is_due('a', gap, 0)
-    assert not rhythm.is_due('b', gap, 0.9)
-    assert rhythm.is_due('b', gap, gap)
+    schedule = SendSchedule()
+    interval = remote_interval(53)
+    assert interval > 1
+    schedule.is_due('a', interval, 0)
+    assert not schedule.is_due('b', interval, 0.9)
+    assert schedule.is_due('b', interval, interval)
 
 
-def test_gap_to_other_zones_of_small_fleet_is_min_gap() -> None:
+def test_remote_interval_of_small_fleet_is_min_interval() -> None:
     assert remote_interval(6) == MIN_INTERVAL
 
 
