--- a/gentiantrestle/gateway/assembly.py
+++ b/gentiantrestle/gateway/assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of one instance that place and run work."""
+"""Builds the components of an instance that place and run work."""
 
 import random
 from typing import NamedTuple
@@ -17,7 +17,11 @@
 
 
 class InstanceConfig(NamedTuple):
-    """Where one instance stands and listens; ``grace`` is in s."""
+    """Identity, location and addresses of an instance.
+
+    ``http_address`` is where callers connect, ``grace`` the time in s that a
+    stop may take, ``seeds`` are hosts of other instances.
+    """
 
     instance: str
     topology: Topology
@@ -28,23 +32,26 @@
     grace: float
 
 
-class Workplace(NamedTuple):
-    """What requests and items are placed and run with."""
+class WorkComponents(NamedTuple):
+    """The components that place and run requests and batch items."""
 
     parts: BatchContext
     admission: Admission
     runner: Runner
 
 
-def build_workplace(
-    site: Topology,
+def build_components(
+    topology: Topology,
     adapter: Adapter,
     state: FleetState,
     clock: Clock,
-    run: str,
-) -> Workplace:
-    """Build the parts of the run of an instance; nothing runs yet."""
-    rng = random.Random(run)
+    run_name: str,
+) -> WorkComponents:
+    """Build the components without starting them.
+
+    ``run_name`` names this process run of the instance.
+    """
+    rng = random.Random(run_name)
     board = LoadBoard()
     index = JobIndex()
     store = RetryingStore(adapter.store, clock.now)
@@ -54,11 +61,11 @@
         state.router,
         state.roster,
         board,
-        Placement(site, board, rng.random),
+        Placement(topology, board, rng.random),
         adapter.dialect,
         clock,
     )
     admission = Admission(state.roster, board, parts.placement, clock.now)
-    runner = Runner(parts, run)
+    runner = Runner(parts, run_name)
     admission.preempt = runner.run_table.preempt
-    return Workplace(parts, admission, runner)
+    return WorkComponents(parts, admission, runner)
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -1,4 +1,4 @@
-"""Forwards one caller's request until it has its one answer."""
+"""Forwards a request to upstreams, with retries, until it is answered."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,10 +17,10 @@
 from gentiantrestle.gateway.model import Request, Route, RouteKind
 from gentiantrestle.gateway.placement import Placement
 from gentiantrestle.gateway.ports import Dialect, Reply
-from gentiantrestle.gateway.queueing import MIN_RETRY_AFTER, retry_after
+from gentiantrestle.gateway.queueing import MIN_RETRY_AFTER, retry_after_seconds
 from gentiantrestle.gateway.retry_policy import (
-    Outcome,
-    Progress,
+    AttemptOutcome,
+    RequestProgress,
     Step,
     next_step,
 )
@@ -34,15 +34,15 @@
 
 OK = 200
 SERVER_ERROR = 500
-LENGTH = b'content-length'
-# An idempotent request that an upstream leaves without any byte this many
-# latency targets long goes elsewhere; callers leave after two seconds.
-STALL_TARGETS = 3.0
-MAX_STALL = 1.0  # seconds
+CONTENT_LENGTH = b'content-length'
+# An idempotent request is retried elsewhere if the upstream sends nothing for
+# this many latency targets. Callers abandon a silent stream after 2 s.
+STALL_TIMEOUT_TARGETS = 3.0
+MAX_STALL_TIMEOUT = 1.0  # seconds
 
 
-class Means(NamedTuple):
-    """What requests are forwarded with."""
+class ForwardingContext(NamedTuple):
+    """What a forwarder works with; ``now`` is a monotonic clock in s."""
 
     admission: Admission
     placement: Placement
@@ -50,213 +50,237 @@
     now: Callable[[], float]
 
 
-class Failed(NamedTuple):
-    """An upstream's own answer that is not a success."""
+class HeldResponse(NamedTuple):
+    """A complete upstream response, held back while a retry may follow."""
 
     reply: Reply
     body: bytes
 
 
-class AttemptEndedError(Exception):
-    """An attempt came to nothing; carries how, to the loop that decides."""
+class AttemptFailedError(Exception):
+    """An attempt ended without a response that could be forwarded."""
 
-    def __init__(self, outcome: Outcome, reason: str) -> None:
-        """Keep the outcome; the reason goes to the log."""
+    def __init__(self, outcome: AttemptOutcome, reason: str) -> None:
+        """Keep the outcome, and the reason for the log and the refusal."""
         super().__init__(reason)
         self.outcome = outcome
         self.reason = reason
 
 
 class Forwarder:
-    """Answers requests by way of upstreams."""
+    """Answers requests by forwarding them to upstreams."""
 
-    def __init__(self, means: Means) -> None:
-        """Take slots from the admission and speak as the dialect says."""
-        self._means = means
+    def __init__(self, context: ForwardingContext) -> None:
+        """Use the admission, placement and dialect of ``context``."""
+        self._context = context
 
     async def answer(
         self,
-        call: Request,
+        req: Request,
         route: Route,
         service: str,
         exchange: Exchange,
     ) -> str:
-        """Give the caller its one answer; return how it ended."""
-        run = _Run(self._means, call, route, exchange)
+        """Answer the exchange; return the outcome of the last attempt.
+
+        Raises ``RefusedError`` if the caller still has to be refused.
+        """
+        forwarded = _ForwardedRequest(self._context, req, route, exchange)
         while True:
-            lease = await run.enter(service)
+            lease = await forwarded.acquire_slot(service)
             try:
-                outcome = await run.attempt(lease)
+                outcome = await forwarded.attempt(lease)
             finally:
-                self._means.admission.release(lease)
-            left = call.deadline - self._means.now()
-            step = next_step(outcome, run.progress(), left)
+                self._context.admission.release(lease)
+            left = req.deadline - self._context.now()
+            step = next_step(outcome, forwarded.progress(), left)
             events.emit(
                 events.ATTEMPT_ENDED,
-                request=call.id,
+                request=req.id,
                 upstream=lease.upstream.id,
                 outcome=outcome.value,
-                reason=run.reason,
+                reason=forwarded.reason,
                 step=step.value,
                 left_ms=round(left * 1000),
             )
             if step is not Step.RETRY:
-                await run.finish(step, outcome)
+                await forwarded.finish(step, outcome)
                 return outcome.value
 
 
-class _Run:
-    """The state of one request on its way."""
+class _ForwardedRequest:
+    """The state of one request over all its attempts."""
 
     def __init__(
         self,
-        means: Means,
-        call: Request,
+        context: ForwardingContext,
+        req: Request,
         route: Route,
         exchange: Exchange,
     ) -> None:
-        self._means = means
-        self._call = call
+        self._context = context
+        self._req = req
         self._route = route
         self._exchange = exchange
         self._tried: frozenset[str] = frozenset()
-        self._counts = Progress(route.idempotent, route.max_attempts)
-        self._splitter = EventSplitter(call.last_event)
-        self._failure: Failed | None = None
+        self._progress = RequestProgress(route.idempotent, route.max_attempts)
+        self._splitter = EventSplitter(req.last_event)
+        self._held_response: HeldResponse | None = None
         self.reason = ''
 
-    def progress(self) -> Progress:
-        return self._counts._replace(begun=self._exchange.begun)
+    def progress(self) -> RequestProgress:
+        return self._progress._replace(response_started=self._exchange.started)
+
+    async def acquire_slot(self, service: str) -> SlotLease:
+        """Take a slot, if possible on an upstream that was not tried yet.
 
-    async def enter(self, service: str) -> SlotLease:
-        """Take a slot on an upstream that was not tried yet."""
-        wanted = SlotRequest(self._call, self._route, service, self._tried)
+        Raises ``RefusedError``; it reports an unknown outcome if an earlier
+        attempt may have been executed.
+        """
+        slot_request = SlotRequest(self._req, self._route, service, self._tried)
         try:
-            lease = await self._means.admission.acquire(wanted)
+            lease = await self._context.admission.acquire(slot_request)
         except RefusedError as exc:
-            if self._exchange.begun:
-                self._exchange.cut()
-            if not self._counts.runs:
+            if self._exchange.started:
+                self._exchange.abort()
+            if not self._progress.runs:
                 raise
             raise refuse(UPSTREAM_UNSURE, exc.refusal.reason) from exc
         self._tried |= {lease.upstream.id}
         return lease
 
-    async def attempt(self, lease: SlotLease) -> Outcome:
-        """Try one upstream; note what it means for its health."""
-        health = self._means.placement.health(lease.upstream.id)
-        outcome = await self._try(lease)
-        if outcome in {Outcome.LOST, Outcome.UNREACHED}:
-            health.record_failure(self._means.now(), 0)
-        elif outcome in {Outcome.DONE, Outcome.FAILED}:
+    async def attempt(self, lease: SlotLease) -> AttemptOutcome:
+        """Try one upstream and update its health record."""
+        health = self._context.placement.health(lease.upstream.id)
+        outcome = await self._run_attempt(lease)
+        if outcome in {AttemptOutcome.LOST, AttemptOutcome.UNREACHED}:
+            health.record_failure(self._context.now(), 0)
+        elif outcome in {AttemptOutcome.DONE, AttemptOutcome.FAILED}:
             health.record_success()
         return outcome
 
-    async def finish(self, step: Step, outcome: Outcome) -> None:
-        """Give the final answer where the upstream's was none."""
+    async def finish(self, step: Step, outcome: AttemptOutcome) -> None:
+        """End the exchange after the last attempt; may raise a refusal."""
         if step is Step.CUT:
-            self._exchange.cut()
-        elif step is Step.PASS_ON and self._failure is not None:
-            reply, body = self._failure
+            self._exchange.abort()
+        elif step is Step.PASS_ON and self._held_response is not None:
+            reply, body = self._held_response
             await self._exchange.respond(reply.status, reply.headers, body)
         elif step is not Step.FINISH:
             raise self._refusal(step, outcome)
 
-    def _refusal(self, step: Step, outcome: Outcome) -> RefusedError:
+    def _refusal(self, step: Step, outcome: AttemptOutcome) -> RefusedError:
         if step is Step.REFUSE:
-            now = self._means.now()
-            pause = retry_after(MIN_RETRY_AFTER, self._call, now)
-            return refuse(NO_UPSTREAM, self.reason, pause)
-        if outcome is Outcome.EXPIRED:
+            now = self._context.now()
+            delay = retry_after_seconds(MIN_RETRY_AFTER, self._req, now)
+            return refuse(NO_UPSTREAM, self.reason, delay)
+        if outcome is AttemptOutcome.EXPIRED:
             return refuse(ANSWER_TIMEOUT, self.reason)
         return refuse(UPSTREAM_UNSURE, self.reason)
 
-    async def _try(self, lease: SlotLease) -> Outcome:
-        sending = UpstreamConnection(self._means.dialect)
-        left = self._call.deadline - self._means.now()
+    async def _run_attempt(self, lease: SlotLease) -> AttemptOutcome:
+        conn = UpstreamConnection(self._context.dialect)
+        left = self._req.deadline - self._context.now()
         self.reason = ''
         try:
             async with asyncio.timeout(left):
-                await self._send(sending, lease)
-        except AttemptEndedError as exc:
+                await self._send(conn, lease)
+        except AttemptFailedError as exc:
             self.reason = exc.reason
             return exc.outcome
         except TimeoutError:
             self.reason = 'deadline'
-            return Outcome.EXPIRED
+            return AttemptOutcome.EXPIRED
         finally:
-            sending.close()
-        return Outcome.DONE
+            conn.close()
+        return AttemptOutcome.DONE
 
-    async def _send(
-        self, sending: UpstreamConnection, lease: SlotLease
-    ) -> None:
-        counts = self._counts
-        self._counts = counts._replace(refusals=counts.refusals + 1)
+    async def _send(self, conn: UpstreamConnection, lease: SlotLease) -> None:
+        before = self._progress
+        self._progress = before._replace(refusals=before.refusals + 1)
         try:
-            await sending.connect(lease.upstream)
+            await conn.connect(lease.upstream)
         except LinkRefusedError as exc:
-            raise AttemptEndedError(Outcome.UNREACHED, repr(exc)) from exc
-        # From here on it may have run, until the upstream says otherwise.
-        self._counts = counts._replace(runs=counts.runs + 1)
+            raise AttemptFailedError(
+                AttemptOutcome.UNREACHED, repr(exc)
+            ) from exc
+        # From here on the request counts as executed, unless the upstream
+        # says that it was not.
+        self._progress = before._replace(runs=before.runs + 1)
         try:
-            async with asyncio.timeout(self._stall):
-                reply = await sending.send(self._message(lease))
+            async with asyncio.timeout(self._stall_timeout):
+                reply = await conn.send(self._build_request(lease))
         except (ResponseLostError, TimeoutError) as exc:
-            raise AttemptEndedError(Outcome.LOST, repr(exc)) from exc
+            raise AttemptFailedError(AttemptOutcome.LOST, repr(exc)) from exc
         if reply.not_run:
-            self._counts = counts._replace(refusals=counts.refusals + 1)
-            raise AttemptEndedError(Outcome.NOT_RUN, f'status {reply.status}')
-        await self._read(sending, reply)
+            self._progress = before._replace(refusals=before.refusals + 1)
+            raise AttemptFailedError(
+                AttemptOutcome.NOT_RUN, f'status {reply.status}'
+            )
+        await self._relay_response(conn, reply)
 
-    async def _read(self, sending: UpstreamConnection, reply: Reply) -> None:
+    async def _relay_response(
+        self, conn: UpstreamConnection, reply: Reply
+    ) -> None:
         try:
             if self._route.kind is RouteKind.STREAM and reply.status == OK:
-                await self._stream(sending, reply)
+                await self._relay_stream(conn, reply)
             else:
-                await self._pass_whole(sending, reply)
+                await self._relay_whole(conn, reply)
         except (ResponseLostError, EventOrderError) as exc:
-            raise AttemptEndedError(Outcome.LOST, repr(exc)) from exc
+            raise AttemptFailedError(AttemptOutcome.LOST, repr(exc)) from exc
 
-    async def _pass_whole(
-        self, sending: UpstreamConnection, reply: Reply
+    async def _relay_whole(
+        self, conn: UpstreamConnection, reply: Reply
     ) -> None:
-        body = await sending.read_body(self._stall)
-        if reply.status >= SERVER_ERROR or self._exchange.begun:
-            self._failure = Failed(reply, body)
-            raise AttemptEndedError(Outcome.FAILED, f'status {reply.status}')
+        body = await conn.read_body(self._stall_timeout)
+        if reply.status >= SERVER_ERROR or self._exchange.started:
+            self._held_response = HeldResponse(reply, body)
+            raise AttemptFailedError(
+                AttemptOutcome.FAILED, f'status {reply.status}'
+            )
         await self._exchange.respond(reply.status, reply.headers, body)
 
-    async def _stream(self, sending: UpstreamConnection, reply: Reply) -> None:
+    async def _relay_stream(
+        self, conn: UpstreamConnection, reply: Reply
+    ) -> None:
         self._splitter = EventSplitter(self._splitter.last_id)
-        async for part in sending.iter_body(self._stall):
-            whole = b''.join(one.raw for one in self._splitter.feed(part))
-            if whole:
-                await self._write(reply, whole)
-        if self._splitter.rest or not self._exchange.begun:
-            await self._write(reply, self._splitter.rest)
-        await self._exchange.end()
-
-    async def _write(self, reply: Reply, piece: bytes) -> None:
-        if self._exchange.begun:
-            await self._exchange.part(piece)
+        async for part in conn.iter_body(self._stall_timeout):
+            complete = b''.join(
+                event.raw for event in self._splitter.feed(part)
+            )
+            if complete:
+                await self._write(reply, complete)
+        if self._splitter.remainder or not self._exchange.started:
+            await self._write(reply, self._splitter.remainder)
+        await self._exchange.finish_stream()
+
+    async def _write(self, reply: Reply, part: bytes) -> None:
+        if self._exchange.started:
+            await self._exchange.send_part(part)
             return
-        headers = [pair for pair in reply.headers if pair[0] != LENGTH]
-        await self._exchange.begin(reply.status, headers, piece)
-
-    def _message(self, lease: SlotLease) -> UpstreamRequest:
-        call = self._call
-        left = call.deadline - self._means.now()
-        headers = self._means.dialect.upstream_headers(
-            call, lease.upstream, left, self._splitter.last_id
+        headers = [pair for pair in reply.headers if pair[0] != CONTENT_LENGTH]
+        await self._exchange.start_stream(reply.status, headers, part)
+
+    def _build_request(self, lease: SlotLease) -> UpstreamRequest:
+        req = self._req
+        left = req.deadline - self._context.now()
+        headers = self._context.dialect.upstream_headers(
+            req, lease.upstream, left, self._splitter.last_id
         )
         return UpstreamRequest(
-            call.id, call.method, call.target, headers, call.body
+            req.id, req.method, req.target, headers, req.body
         )
 
     @property
-    def _stall(self) -> float | None:
-        """Longest silence of an upstream, in s; None where it must finish."""
+    def _stall_timeout(self) -> float | None:
+        """Longest silence of an upstream, in s.
+
+        None if the route is not idempotent: then only the deadline counts.
+        """
         if not self._route.idempotent:
             return None
-        return min(MAX_STALL, self._route.latency_target * STALL_TARGETS)
+        return min(
+            MAX_STALL_TIMEOUT,
+            self._route.latency_target * STALL_TIMEOUT_TARGETS,
+        )
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway of one instance, top to bottom."""
+"""Assembles, runs and stops the gateway of one instance."""
 
 import asyncio
 import random
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from gentiantrestle import events
-from gentiantrestle.gateway.assembly import InstanceConfig, build_workplace
+from gentiantrestle.gateway.assembly import InstanceConfig, build_components
 from gentiantrestle.gateway.batch.api import JobApi
 from gentiantrestle.gateway.batch.context import Clock
 from gentiantrestle.gateway.batch.records import JOB_KIND
@@ -18,100 +18,108 @@
     WatchGate,
     WatchSpec,
 )
-from gentiantrestle.gateway.forward import Forwarder, Means
+from gentiantrestle.gateway.forward import Forwarder, ForwardingContext
 from gentiantrestle.gateway.gossip_messages import Identity
 from gentiantrestle.gateway.http_server import HttpServer
 from gentiantrestle.gateway.metrics import Metrics
 from gentiantrestle.gateway.peering import Peering, PeeringParts
 from gentiantrestle.gateway.peers import PeerList, run_name
 from gentiantrestle.gateway.ports import Adapter, StoredObject
-from gentiantrestle.gateway.request_handler import Entry
+from gentiantrestle.gateway.request_handler import RequestHandler
 from gentiantrestle.gateway.state_copier import StateCopier
 from gentiantrestle.gateway.zone_watcher import WatcherElection
 from gentiantrestle.supervisor import Child, Supervisor
 
-# Changes that come within this time are read with one call; the bound for
-# configuration and leaving upstreams is 2.5 s after the store's answer.
-CONFIG_REST = 0.2  # seconds
-UPSTREAM_REST = 0.4  # seconds
-JOB_REST = 1.5  # seconds
-# The balancer asks once a second and drops an instance after two misses.
-NOTICE_TIME = 2.6  # seconds
-# The rest of the grace time is for the process's own end.
-GRACE_SHARE = 0.9
-STOP_STEP = 0.05  # seconds
+# Pauses after a watch has returned changes, so that one call reads a series
+# of them. Configuration and leaving upstreams must take effect within 2.5 s
+# of the store's answer.
+CONFIG_WATCH_PAUSE = 0.2  # seconds
+UPSTREAM_WATCH_PAUSE = 0.4  # seconds
+JOB_WATCH_PAUSE = 1.5  # seconds
+# The balancer checks readiness once a second and drops an instance after two
+# failed checks.
+BALANCER_DRAIN_TIME = 2.6  # seconds
+# The process needs the rest of the grace time to exit.
+DRAIN_GRACE_SHARE = 0.9
+STOP_POLL_INTERVAL = 0.05  # seconds
 
 
 class Gateway:
-    """Children of the root supervisor, and their planned stop."""
+    """The gateway of one instance: its children and its graceful stop."""
 
-    def __init__(self, plan: InstanceConfig, adapter: Adapter) -> None:
-        """Build the parts; nothing runs yet."""
-        self._plan = plan
+    def __init__(self, cfg: InstanceConfig, adapter: Adapter) -> None:
+        """Build the components; nothing runs yet."""
+        self._cfg = cfg
         self._adapter = adapter
         self._clock = Clock(time.monotonic, time.time)
         incarnation = time.time_ns()
         self._rng = random.Random(incarnation)
         self._identity = Identity(
-            plan.instance,
+            cfg.instance,
             incarnation,
-            plan.host,
-            plan.topology.zone,
-            plan.peer_port,
+            cfg.host,
+            cfg.topology.zone,
+            cfg.peer_port,
         )
         self._state = FleetState(
             adapter.documents, adapter.kinds.config_name, self._clock.now
         )
-        self._state.on_change = self._wake
-        workplace = build_workplace(
-            plan.topology, adapter, self._state, self._clock, self._run_name
+        self._state.on_change = self._wake_work
+        components = build_components(
+            cfg.topology, adapter, self._state, self._clock, self._run_name
         )
-        self._parts = workplace.parts
-        self._admission = workplace.admission
-        self._runner = workplace.runner
+        self._parts = components.parts
+        self._admission = components.admission
+        self._runner = components.runner
         self._peers = PeerList(
-            plan.instance, plan.host, plan.topology.zone, plan.seeds
+            cfg.instance, cfg.host, cfg.topology.zone, cfg.seeds
         )
-        self._duty = WatcherElection(
-            plan.instance, plan.topology.zone, self._clock.now()
+        self._watcher_election = WatcherElection(
+            cfg.instance, cfg.topology.zone, self._clock.now()
         )
-        self._gate = WatchGate()
+        self._watch_gate = WatchGate()
         self._followers = dict(self._build_followers())
         self._peering = self._build_peering()
-        self.metrics = self._build_measures()
-        self.callers = self._build_callers()
+        self.metrics = self._build_metrics()
+        self.server = self._build_server()
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
-        return self._state.router.known and not self._runner.stopping
+        """Tell whether the balancer may send callers to this instance."""
+        return self._state.router.has_config and not self._runner.stopping
 
     async def run(self) -> None:
         """Run all children until cancelled."""
-        callers = self._plan.http_address
-        await self.callers.start(callers.host, callers.port)
+        address = self._cfg.http_address
+        await self.server.start(address.host, address.port)
         await Supervisor(tuple(self._children()), self._clock.now).run()
 
     async def stop(self) -> int:
-        """Leave the rotation, hand batch over, finish; count the cut."""
-        began = self._clock.now()
-        self.callers.stopping = True
+        """Drain this instance and return the number of requests cut off.
+
+        Announces the stop, hands batch work over, waits for the balancer and
+        then for requests in flight, within the grace time.
+        """
+        started = self._clock.now()
+        self.server.stopping = True
         self._peering.leave()
         await self._runner.stop()
-        await self._until(began + NOTICE_TIME, idle=False)
-        self.callers.close_idle()
-        await self._until(began + self._plan.grace * GRACE_SHARE, idle=True)
-        return self.callers.active
+        await self._wait_until(started + BALANCER_DRAIN_TIME, idle=False)
+        self.server.close_idle()
+        await self._wait_until(
+            started + self._cfg.grace * DRAIN_GRACE_SHARE, idle=True
+        )
+        return self.server.in_flight
 
     @property
     def _run_name(self) -> str:
         return run_name(self._identity.instance, self._identity.incarnation)
 
-    async def _until(self, end: float, *, idle: bool) -> None:
+    async def _wait_until(self, end: float, *, idle: bool) -> None:
         while self._clock.now() < end:
-            if idle and not self.callers.active:
+            if idle and not self.server.in_flight:
                 return
-            await asyncio.sleep(STOP_STEP)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
 
     def _children(self) -> Iterable[Child]:
         yield from self._peering.children()
@@ -124,18 +132,23 @@
         config = self._state.config_handlers()
         upstreams = self._state.upstream_handlers()
         jobs = StoreHandlers(
-            self._take_jobs,
-            self._take_jobs,
-            _pass,
+            self._apply_jobs,
+            self._apply_jobs,
+            _keep_jobs,
             lambda: self._parts.index.revision,
         )
         sinks = (
-            (WatchSpec(kinds.config, CONFIG_REST, read_at_start=True), config),
             (
-                WatchSpec(kinds.upstreams, UPSTREAM_REST, read_at_start=True),
+                WatchSpec(kinds.config, CONFIG_WATCH_PAUSE, read_at_start=True),
+                config,
+            ),
+            (
+                WatchSpec(
+                    kinds.upstreams, UPSTREAM_WATCH_PAUSE, read_at_start=True
+                ),
                 upstreams,
             ),
-            (WatchSpec(JOB_KIND, JOB_REST), jobs),
+            (WatchSpec(JOB_KIND, JOB_WATCH_PAUSE), jobs),
         )
         for subject, sink in sinks:
             yield (
@@ -145,7 +158,7 @@
                     subject,
                     sink,
                     self._rng,
-                    self._gate,
+                    self._watch_gate,
                 ),
             )
 
@@ -169,75 +182,85 @@
         peering = Peering(
             self._identity, peers, work, self._is_connected, self._clock.now
         )
-        peering.before_sync = self._decide_duty
+        peering.before_sync = self._update_watch_duty
         return peering
 
     def _is_connected(self) -> bool:
-        """Tell whether this instance watches the store, and hears it."""
-        return all(one.connected for one in self._followers.values())
+        """Tell whether this instance watches the store and reaches it."""
+        return all(follower.connected for follower in self._followers.values())
 
-    def _decide_duty(self) -> None:
-        """Watch the store, or leave it to another instance of the zone."""
+    def _update_watch_duty(self) -> None:
+        """Start or stop watching the store on behalf of the zone."""
         now = self._clock.now()
-        duty = self._duty.decide(
+        duty = self._watcher_election.decide(
             self._peers.alive(now), now, connected=self._is_connected()
         )
-        if duty == self._gate.is_set():
+        if duty == self._watch_gate.is_set():
             return
         events.emit(events.DUTY_CHANGED, held=duty)
         if duty:
-            self._gate.set()
+            self._watch_gate.set()
         else:
-            self._gate.clear()
+            self._watch_gate.clear()
 
-    def _build_callers(self) -> HttpServer:
+    def _build_server(self) -> HttpServer:
         dialect = self._adapter.dialect
-        means = Means(
+        context = ForwardingContext(
             self._admission, self._parts.placement, dialect, self._clock.now
         )
         api = JobApi(self._parts, self._runner, self._reader, self._run_name)
         api.on_cancel = self._peering.announce_ended_job
-        entry = Entry(
-            self._state.router, Forwarder(means), api, dialect, self._clock
+        request_handler = RequestHandler(
+            self._state.router, Forwarder(context), api, dialect, self._clock
         )
-        entry.measure = self.metrics.note_answer
+        request_handler.record_request = self.metrics.record_request
         return HttpServer(
-            entry.handle,
+            request_handler.handle,
             dialect.write_refusal,
             lambda: self._state.router.table.limits,
         )
 
-    def _build_measures(self) -> Metrics:
-        measures = Metrics(self._plan.instance, self._plan.topology.zone)
-        for name, text, read in (
-            ('active', 'Requests being answered.', self._count_active),
-            ('waiting', 'Requests that wait for a slot.', self._count_waiting),
-            ('config_version', 'Configuration in force.', self._tell_version),
-            ('store_connected', 'One if the store is heard.', self._tell_store),
+    def _build_metrics(self) -> Metrics:
+        metrics = Metrics(self._cfg.instance, self._cfg.topology.zone)
+        for name, description, read in (
+            ('active', 'Requests in flight.', self._count_active),
+            ('waiting', 'Requests waiting for a slot.', self._count_waiting),
+            (
+                'config_version',
+                'Version of the configuration in force.',
+                self._read_config_version,
+            ),
+            (
+                'store_connected',
+                '1 if this instance watches the store and reaches it, else 0.',
+                self._read_store_connected,
+            ),
         ):
-            measures.watch(name, text, read)
-        return measures
+            metrics.add_gauge(name, description, read)
+        return metrics
 
     def _count_active(self) -> int:
-        return self.callers.active
+        return self.server.in_flight
 
     def _count_waiting(self) -> int:
         return self._admission.waiting
 
-    def _tell_version(self) -> int:
+    def _read_config_version(self) -> int:
         return self._state.config_version
 
-    def _tell_store(self) -> int:
+    def _read_store_connected(self) -> int:
         return int(self._is_connected())
 
-    def _take_jobs(self, found: Iterable[StoredObject], revision: int) -> None:
-        self._parts.job_store.apply_changes(found, revision)
+    def _apply_jobs(
+        self, stored: Iterable[StoredObject], revision: int
+    ) -> None:
+        self._parts.job_store.apply_changes(stored, revision)
         self._runner.wake()
 
-    def _wake(self) -> None:
+    def _wake_work(self) -> None:
         self._admission.dispatch()
         self._runner.wake()
 
 
-def _pass() -> None:
-    """Jobs are kept as they are while the store is away."""
+def _keep_jobs() -> None:
+    """Keep the known jobs while the store is unreachable."""
