--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -27,7 +27,11 @@
     ErrorKind,
     Refusal,
 )
-from gentiantrestle.http.client import Answer, LostError, NotSentError
+from gentiantrestle.http.client import (
+    ClientResponse,
+    ConnectionLostError,
+    NotSentError,
+)
 from gentiantrestle.http.messages import (
     JSON,
     error_document,
@@ -83,7 +87,7 @@
         self.attempt_id = uuid4().hex
         self.started_at = ctx.now()
 
-    async def send(self) -> Answer:
+    async def send(self) -> ClientResponse:
         """Send the request; raise ``AttemptError`` when it fails."""
         call = build_call(
             self._work.target,
@@ -97,18 +101,18 @@
                 answer = await self.upstream.pool.call(call)
         except NotSentError as exc:
             raise self._fail(Stage.NOT_SENT, NO_UPSTREAM, exc) from exc
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             raise self._fail(Stage.SENT, UPSTREAM_UNSURE, exc) from exc
         if answer.status >= SERVER_ERROR:
             raise await self._refused(answer)
         return answer
 
-    async def read(self, answer: Answer) -> bytes:
+    async def read(self, answer: ClientResponse) -> bytes:
         """Collect a whole answer."""
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
                 body = await answer.read()
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             raise self._fail(Stage.SENT, UPSTREAM_UNSURE, exc) from exc
         finally:
             self.upstream.pool.release(answer)
@@ -120,7 +124,7 @@
         self.upstream.health.record_success()
         return body
 
-    async def stream(self, answer: Answer) -> AsyncIterator[bytes]:
+    async def stream(self, answer: ClientResponse) -> AsyncIterator[bytes]:
         """Pass a stream on; end it with an explicit error if it is cut.
 
         A stream that is cut before its first part raises instead.
@@ -130,7 +134,7 @@
         try:
             async for part in self._paced(answer, whole):
                 yield part
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             error = repr(exc)
         finally:
             self._ctx.metrics.tokens.add({}, whole.events)
@@ -145,12 +149,12 @@
 
     async def _paced(
         self,
-        answer: Answer,
+        answer: ClientResponse,
         whole: WholeStream,
     ) -> AsyncIterator[bytes]:
         stall = self._ctx.cfg.stall_timeout
         measured_at, measured_events = self._ctx.now(), 0
-        async with aclosing(answer.parts(stall)) as parts:
+        async with aclosing(answer.iter_body(stall)) as parts:
             async for part in parts:
                 whole.feed(part)
                 passed = whole.events - measured_events
@@ -163,12 +167,12 @@
                     measured_at, measured_events = now, whole.events
                 yield part
 
-    async def _refused(self, answer: Answer) -> AttemptError:
+    async def _refused(self, answer: ClientResponse) -> AttemptError:
         leaving = leaving_incarnation(answer)
         body = b''
         try:
             body = await answer.read()
-        except LostError:
+        except ConnectionLostError:
             leaving = None
         finally:
             self.upstream.pool.release(answer)
@@ -215,7 +219,7 @@
     def __init__(
         self,
         attempt: Attempt,
-        answer: Answer,
+        answer: ClientResponse,
         leave: Callable[[Attempt], None],
     ) -> None:
         """Hold the slot until closed."""
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -25,8 +25,8 @@
     ReadResults,
 )
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 ACCEPTED = 202
@@ -100,7 +100,7 @@
             new = await self._job_store.accept(job)
         except StoreUnavailableError as exc:
             raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
-        except StoreUnsureError as exc:
+        except StoreOutcomeUnknownError as exc:
             raise refuse(UPSTREAM_UNSURE, f'The store: {exc}') from exc
         events.emit(
             events.JOB_ACCEPTED, job=job.id, items=len(job.items), new=new
@@ -135,7 +135,7 @@
         """End a job for good."""
         try:
             known = await self._job_store.end(wanted.job)
-        except (StoreUnavailableError, StoreUnsureError) as exc:
+        except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
             raise refuse(STORE_UNAVAILABLE, str(exc), STORE_PAUSE) from exc
         if not known:
             raise refuse(NOT_FOUND, 'No such job')
--- a/gentiantrestle/gateway/batch/item_progress.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -15,7 +15,7 @@
     UpstreamConnection,
     UpstreamRequest,
 )
-from gentiantrestle.http.link import LinkRefusedError
+from gentiantrestle.http.link import RequestNotSentError
 
 OK = 200
 NEVER_POSSIBLE = 422
@@ -60,7 +60,7 @@
             await sending.connect(upstream)
             reply = await self._start(sending, dialect, upstream)
             finished = await self._read(sending, reply)
-        except (LinkRefusedError, ResponseLostError, TimeoutError) as exc:
+        except (RequestNotSentError, ResponseLostError, TimeoutError) as exc:
             health.record_failure(now(), 0)
             finished = Finished(None, repr(exc))
         except EventOrderError as exc:
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -26,8 +26,8 @@
 from gentiantrestle.gateway.model import ItemResult, Job
 from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 # Results that were read anywhere must be seen here a second later.
@@ -91,7 +91,7 @@
         """Create a job once; False where it was accepted before.
 
         Raises ``StoreUnavailableError`` if it was not accepted, and
-        ``StoreUnsureError`` if it may have been.
+        ``StoreOutcomeUnknownError`` if it may have been.
         """
         bodies = bodies_to_content(job)
         content = job_to_content(job)
@@ -142,7 +142,7 @@
     async def end(self, job: str) -> bool:
         """End a job for good; False where no such job exists.
 
-        Raises ``StoreUnavailableError`` and ``StoreUnsureError``.
+        Raises ``StoreUnavailableError`` and ``StoreOutcomeUnknownError``.
         """
         return await self._set_state(job, ENDED)
 
@@ -150,7 +150,7 @@
         """Note that every item is listed; a failure costs reads only."""
         try:
             await self._set_state(job, DONE)
-        except (StoreUnavailableError, StoreUnsureError) as exc:
+        except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
             events.emit(events.WRITE_FAILED, name=job, error=repr(exc))
 
     async def refresh(self, entry: JobEntry) -> None:
@@ -183,7 +183,7 @@
                 return
             try:
                 await self._write_chunk(entry, new)
-            except (StoreUnavailableError, StoreUnsureError) as exc:
+            except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
                 events.emit(
                     events.RESULTS_HELD, count=len(new), chunk=entry.job.id
                 )
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -30,7 +30,7 @@
     UpstreamConnection,
     UpstreamRequest,
 )
-from gentiantrestle.http.link import LinkRefusedError
+from gentiantrestle.http.link import RequestNotSentError
 
 OK = 200
 SERVER_ERROR = 500
@@ -195,7 +195,7 @@
         self._counts = counts._replace(refusals=counts.refusals + 1)
         try:
             await sending.connect(lease.upstream)
-        except LinkRefusedError as exc:
+        except RequestNotSentError as exc:
             raise AttemptEndedError(Outcome.UNREACHED, repr(exc)) from exc
         # From here on it may have run, until the upstream says otherwise.
         self._counts = counts._replace(runs=counts.runs + 1)
--- a/gentiantrestle/gateway/ports.py
+++ b/gentiantrestle/gateway/ports.py
@@ -42,7 +42,7 @@
     """The platform's store: each call changes one object.
 
     Raises ``StoreUnavailableError`` where nothing was done and
-    ``StoreUnsureError`` where a change may yet take effect.
+    ``StoreOutcomeUnknownError`` where a change may yet take effect.
     """
 
     async def list_page(
--- a/gentiantrestle/gateway/upstream_connection.py
+++ b/gentiantrestle/gateway/upstream_connection.py
@@ -11,7 +11,7 @@
 from gentiantrestle.http.link import (
     Link,
     LinkLostError,
-    LinkRefusedError,
+    RequestNotSentError,
     open_link,
 )
 
@@ -47,7 +47,7 @@
         self._link: Link | None = None
 
     async def connect(self, upstream: Upstream) -> None:
-        """Connect, or raise ``LinkRefusedError``: nothing was sent."""
+        """Connect, or raise ``RequestNotSentError``: nothing was sent."""
         self._link = await open_link(
             upstream.address, CONNECT_TIMEOUT, MAX_HEADER
         )
@@ -55,7 +55,7 @@
     async def send(self, message: UpstreamRequest) -> Reply:
         """Send the request and wait for the head of a genuine answer.
 
-        Raises ``ResponseLostError``, and ``LinkRefusedError`` if the request
+        Raises ``ResponseLostError``, and ``RequestNotSentError`` if the request
         can't be written as HTTP.
         """
         head = _encode_head(message)
@@ -95,7 +95,7 @@
     async def _next(self, stall: float | None) -> h11.Data | h11.EndOfMessage:
         try:
             async with asyncio.timeout(stall):
-                event = await self._link.event()
+                event = await self._link.next_event()
         except (LinkLostError, h11.ProtocolError, TimeoutError) as exc:
             raise ResponseLostError(repr(exc)) from exc
         if isinstance(event, h11.Data | h11.EndOfMessage):
@@ -104,7 +104,7 @@
 
     async def _read_head(self) -> Reply:
         while True:
-            event = await self._link.event()
+            event = await self._link.next_event()
             if isinstance(event, h11.Response):
                 return self._dialect.read_reply(event)
             if not isinstance(event, h11.InformationalResponse):
@@ -120,4 +120,4 @@
             headers=[*message.headers, length],
         )
     except h11.LocalProtocolError as exc:
-        raise LinkRefusedError(f'not valid HTTP: {exc}') from exc
+        raise RequestNotSentError(f'not valid HTTP: {exc}') from exc
