--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -98,7 +98,7 @@
         )
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
-                answer = await self.upstream.pool.call(call)
+                answer = await self.upstream.pool.send(call)
         except NotSentError as exc:
             raise self._fail(Stage.NOT_SENT, NO_UPSTREAM, exc) from exc
         except (ConnectionLostError, TimeoutError) as exc:
