--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -183,7 +183,7 @@
         found = self._roster.usable_upstreams(wanted.service, now)
         pause = retry_after(expected, call, now)
         events.emit(
-            events.CALL_REFUSED,
+            events.REQUEST_REFUSED,
             request=call.id,
             service=wanted.service,
             upstreams=len(found),
@@ -205,7 +205,7 @@
     ) -> None:
         load = self._board.total_load(upstream.id, now)
         events.emit(
-            events.CALL_PLACED,
+            events.REQUEST_PLACED,
             request=wanted.call.id,
             upstream=upstream.id,
             online=load.online,
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -149,7 +149,7 @@
     def _note_taken(self, entry: JobEntry) -> None:
         run = entry.job.acceptor
         if run != self._instance and run not in self.taken_over:
-            events.emit(events.JOBS_TAKEN, run=run)
+            events.emit(events.JOBS_TAKEN_OVER, run=run)
             self.taken_over.append(run)
 
     def _learn(self, entry: JobEntry) -> None:
@@ -164,7 +164,9 @@
             if entry.open:
                 await self._parts.job_store.load(entry)
         except StoreUnavailableError as exc:
-            events.emit(events.WRITE_FAILED, name=entry.job.id, error=repr(exc))
+            events.emit(
+                events.STORE_CALL_FAILED, name=entry.job.id, error=repr(exc)
+            )
             await asyncio.sleep(ITEM_PAUSE)
         finally:
             self._learning.discard(entry.job.id)
--- a/gentiantrestle/gateway/definition.py
+++ b/gentiantrestle/gateway/definition.py
@@ -1,6 +1,6 @@
 """The gateway's own settings; where it stands the platform tells."""
 
-from gentiantrestle.definition import MAX_PORT, Option
+from gentiantrestle.options import MAX_PORT, Option
 
 DEFAULT_METRICS_PORT = 9464
 OPTIONS = (
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -8,7 +8,7 @@
 from gentiantrestle.errors import (
     ANSWER_TIMEOUT,
     NO_UPSTREAM,
-    UPSTREAM_UNSURE,
+    UPSTREAM_OUTCOME_UNKNOWN,
     RefusedError,
     refuse,
 )
@@ -138,7 +138,7 @@
                 self._exchange.cut()
             if not self._counts.runs:
                 raise
-            raise refuse(UPSTREAM_UNSURE, exc.refusal.reason) from exc
+            raise refuse(UPSTREAM_OUTCOME_UNKNOWN, exc.refusal.reason) from exc
         self._tried |= {lease.upstream.id}
         return lease
 
@@ -169,7 +169,7 @@
             return refuse(NO_UPSTREAM, self.reason, pause)
         if outcome is Outcome.EXPIRED:
             return refuse(ANSWER_TIMEOUT, self.reason)
-        return refuse(UPSTREAM_UNSURE, self.reason)
+        return refuse(UPSTREAM_OUTCOME_UNKNOWN, self.reason)
 
     async def _try(self, lease: SlotLease) -> Outcome:
         sending = UpstreamConnection(self._means.dialect)
--- a/gentiantrestle/gateway/http_server.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -12,7 +12,7 @@
     BAD_REQUEST,
     HEADERS_TOO_LARGE,
     INTERNAL,
-    TIMED_OUT,
+    REQUEST_TIMEOUT,
     TOO_LARGE,
     Refusal,
     RefusedError,
@@ -185,7 +185,9 @@
             async with asyncio.timeout(limits.header_timeout):
                 event = await self._event(link)
         except TimeoutError:
-            raise refuse(TIMED_OUT, 'The header came too slowly') from None
+            raise refuse(
+                REQUEST_TIMEOUT, 'The header came too slowly'
+            ) from None
         return event if isinstance(event, h11.Request) else None
 
     async def _read_body(self, link: Link, head: h11.Request) -> bytes:
@@ -255,7 +257,9 @@
     async def _refuse(self, link: Link, refusal: Refusal) -> None:
         """Refuse what is not a whole request, and close."""
         status, headers, body = self._write_refusal(refusal)
-        events.emit(events.CALLER_REFUSED, status=status, reason=refusal.reason)
+        events.emit(
+            events.BAD_REQUEST_REFUSED, status=status, reason=refusal.reason
+        )
         fields = [*headers, CLOSE, (LENGTH, str(len(body)).encode())]
         with suppress(LinkLostError, h11.LocalProtocolError):
             await link.send(
--- a/gentiantrestle/gateway/request_handler.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -116,7 +116,7 @@
         name = route.name if route else ''
         self.measure(name, outcome, seconds)
         events.emit(
-            events.CALL_ENDED,
+            events.REQUEST_ENDED,
             request=call.id,
             route=name,
             version=self._router.table.version,
