--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -160,7 +160,7 @@
             if first:
                 raise
         except StoreOutcomeUnknownError:
-            events.emit(events.WRITE_UNSURE, name=name)
+            events.emit(events.WRITE_UNANSWERED, name=name)
         return None
 
     async def _settle(
@@ -178,7 +178,7 @@
             raise StoreOutcomeUnknownError(name) from exc
         mine = found is not None and found.document[TOKEN] == written[TOKEN]
         outcome = 'done' if mine else 'conflict'
-        events.emit(events.WRITE_SETTLED, name=name, outcome=outcome)
+        events.emit(events.WRITE_OUTCOME_RESOLVED, name=name, outcome=outcome)
         if mine:
             return found
         return WriteConflict(name, f'{name} was changed by another writer')
@@ -233,9 +233,9 @@
 
     def _note(self, *, reachable: bool, error: str = '') -> None:
         if reachable and not self.reachable:
-            events.emit(events.STORE_BACK)
+            events.emit(events.STORE_RECOVERED)
         if self.reachable and not reachable:
-            events.emit(events.STORE_DOWN, error=error)
+            events.emit(events.STORE_UNREACHABLE, error=error)
         self.reachable = reachable
 
 
