--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -9,7 +9,7 @@
 
 from benchmarks.hop import cpu_seconds, memory_of
 from gentiantrestle.daemon.configuration.document import validate
-from gentiantrestle.daemon.configuration.mirror import Copied, Mirror
+from gentiantrestle.daemon.configuration.mirror import Mirror, MirroredObject
 from gentiantrestle.daemon.membership.codec import (
     decode,
     encode,
@@ -126,7 +126,9 @@
     tracemalloc.start()
     mirror = Mirror()
     for index in range(JOBS):
-        mirror.take(Copied(f'jobs/{index}', index, msgspec.json.decode(text)))
+        mirror.update(
+            MirroredObject(f'jobs/{index}', index, msgspec.json.decode(text))
+        )
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return [f'jobs: {used / JOBS:.0f} bytes each, {len(text)} in the store']
--- a/gentiantrestle/core.py
+++ b/gentiantrestle/core.py
@@ -12,7 +12,7 @@
 from gentiantrestle import events
 from gentiantrestle.config import SettingProblem, Settings, define_flags
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.tree import Tree
+from gentiantrestle.daemon.tree import SupervisionTree
 from gentiantrestle.status import ExitStatus
 from gentiantrestle.supervisor import GaveUpError
 
@@ -47,7 +47,7 @@
 async def serve(cfg: Settings) -> ExitStatus:
     """Serve until a signal comes, then stop without cutting requests."""
     ctx = Context.from_config(cfg)
-    tree = Tree.from_config(ctx)
+    tree = SupervisionTree.from_config(ctx)
     stopped: asyncio.Future[str] = asyncio.get_running_loop().create_future()
     for signum in SIGNALS:
         asyncio.get_running_loop().add_signal_handler(
--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -119,7 +119,7 @@
         running = sum(
             copied.document['state'] == RUNNING
             and copied.document['client'] == submission.client
-            for copied in self._configuration.mirror.below(JOB_PREFIX)
+            for copied in self._configuration.mirror.with_prefix(JOB_PREFIX)
         )
         if running >= submission.max_jobs:
             raise refuse(
@@ -161,7 +161,9 @@
         name = job_name(record['id'])
         written = await self._store.put(name, dict(record), ABSENT)
         if isinstance(written, Versioned):
-            self._configuration.take(name, written.version, written.document)
+            self._configuration.update_mirror(
+                name, written.version, written.document
+            )
             events.emit(
                 events.JOB_ACCEPTED,
                 job=record['id'],
@@ -183,7 +185,7 @@
                 'This Idempotency-Key was used for another job',
             )
         name = job_name(found.document['id'])
-        self._configuration.take(name, found.version, found.document)
+        self._configuration.update_mirror(name, found.version, found.document)
         return found.document
 
     def _record(
--- a/gentiantrestle/daemon/batch/board.py
+++ b/gentiantrestle/daemon/batch/board.py
@@ -13,7 +13,7 @@
     job_name,
 )
 from gentiantrestle.daemon.batch.schedule import ChunkBook, ChunkKey, Seen
-from gentiantrestle.daemon.configuration.mirror import Copied
+from gentiantrestle.daemon.configuration.mirror import MirroredObject
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
 from gentiantrestle.models import DeploymentDoc
@@ -37,7 +37,7 @@
         self._fleet = fleet
         self._running: dict[str, JobRecord] = {}
         self.book = ChunkBook()
-        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
+        configuration.mirror.add_listener(JOB_PREFIX, self._heed_job)
 
     def jobs(self) -> Iterator[JobRecord]:
         """Yield the running jobs."""
@@ -59,7 +59,7 @@
 
     def take_job(self, version: int, job: JobRecord) -> None:
         """Take in a job that was read or written."""
-        self._configuration.take(job_name(job['id']), version, job)
+        self._configuration.update_mirror(job_name(job['id']), version, job)
 
     def is_running(self, job: str) -> bool:
         """Tell whether a job still wants work."""
@@ -105,7 +105,7 @@
             key = ChunkKey(job['id'], chunk_index(listed['name']))
             self.note(key, listed['version'], listed['body'])
 
-    def _heed_job(self, copied: Copied) -> None:
+    def _heed_job(self, copied: MirroredObject) -> None:
         job = copied.name.removeprefix(JOB_PREFIX)
         document = copied.document
         if document is not None and document['state'] == RUNNING:
--- a/gentiantrestle/daemon/batch/client_jobs.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -75,7 +75,7 @@
 
     def jobs_of(self, client: str) -> Iterator[JobRecord]:
         """Yield the jobs of a client, as the copy knows them."""
-        for copied in self._configuration.mirror.below(JOB_PREFIX):
+        for copied in self._configuration.mirror.with_prefix(JOB_PREFIX):
             if copied.document['client'] == client:
                 yield copied.document
 
@@ -135,7 +135,9 @@
             ) from None
         if not isinstance(written, Versioned):
             return False
-        self._configuration.take(name, written.version, written.document)
+        self._configuration.update_mirror(
+            name, written.version, written.document
+        )
         return True
 
     async def _chunks(self, job: str) -> dict[int, ChunkRecord]:
--- a/gentiantrestle/daemon/batch/service.py
+++ b/gentiantrestle/daemon/batch/service.py
@@ -33,7 +33,7 @@
     SURVEY_PERIOD,
     Watch,
 )
-from gentiantrestle.daemon.configuration.mirror import Copied
+from gentiantrestle.daemon.configuration.mirror import MirroredObject
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.upstreams.service import UpstreamRegistry
@@ -79,7 +79,7 @@
         self._stopping = False
         self.acceptor = JobAcceptor(ctx, store, configuration)
         self.client_jobs = ClientJobs(ctx, store, configuration)
-        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
+        configuration.mirror.add_listener(JOB_PREFIX, self._heed_job)
 
     async def run(self) -> None:
         """Work on batch jobs until cancelled."""
@@ -252,7 +252,7 @@
         deployment = self._board.deployment(job)
         return deployment is not None and self._gate.free(deployment) > 0
 
-    def _heed_job(self, copied: Copied) -> None:
+    def _heed_job(self, copied: MirroredObject) -> None:
         """Stop working on a job that has ended."""
         document = copied.document or {}
         if document.get('state') == RUNNING:
--- a/gentiantrestle/daemon/batch/watch.py
+++ b/gentiantrestle/daemon/batch/watch.py
@@ -23,7 +23,7 @@
     order_jobs,
 )
 from gentiantrestle.daemon.membership.rendezvous import owner
-from gentiantrestle.daemon.membership.view import View
+from gentiantrestle.daemon.membership.view import MembershipView
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
@@ -44,7 +44,7 @@
         self,
         ctx: Context,
         store: StoreClient,
-        view: View,
+        view: MembershipView,
         board: Board,
     ) -> None:
         """Judge holders by heartbeats first, by leases second."""
--- a/gentiantrestle/daemon/configuration/admin.py
+++ b/gentiantrestle/daemon/configuration/admin.py
@@ -112,7 +112,9 @@
         await self._keep(current.document)
         written = await self._store.put(FLEET, dict(wanted), current.version)
         if isinstance(written, Versioned):
-            self._configuration.take(FLEET, written.version, written.document)
+            self._configuration.update_mirror(
+                FLEET, written.version, written.document
+            )
             return wanted
         found = await self._store.get(FLEET)
         return decide(proposal, found.document['revision'])
--- a/gentiantrestle/daemon/configuration/mirror.py
+++ b/gentiantrestle/daemon/configuration/mirror.py
@@ -6,7 +6,7 @@
 Document = dict[str, Any]
 
 
-class Copied(NamedTuple):
+class MirroredObject(NamedTuple):
     """One copied object; no document means that it was deleted."""
 
     name: str
@@ -18,7 +18,7 @@
     """Who is called for changes below a prefix."""
 
     prefix: str
-    heed: Callable[[Copied], None]
+    heed: Callable[[MirroredObject], None]
 
 
 class Mirror:
@@ -27,20 +27,22 @@
     def __init__(self) -> None:
         """Start empty, at revision 0."""
         self.revision = 0
-        self._copies: dict[str, Copied] = {}
+        self._copies: dict[str, MirroredObject] = {}
         self._listeners: list[Listener] = []
 
-    def listen(self, prefix: str, heed: Callable[[Copied], None]) -> None:
+    def add_listener(
+        self, prefix: str, heed: Callable[[MirroredObject], None]
+    ) -> None:
         """Call ``heed`` for each change below a prefix."""
         self._listeners.append(Listener(prefix, heed))
 
-    def apply(self, changes: Iterable[Copied], revision: int) -> None:
+    def apply(self, changes: Iterable[MirroredObject], revision: int) -> None:
         """Take in changes that bring the copy up to ``revision``."""
         for copied in changes:
-            self.take(copied)
+            self.update(copied)
         self.revision = max(self.revision, revision)
 
-    def take(self, copied: Copied) -> bool:
+    def update(self, copied: MirroredObject) -> bool:
         """Take in one object, unless as new a one is known."""
         known = self._copies.get(copied.name)
         if known is not None and known.version >= copied.version:
@@ -51,20 +53,20 @@
                 listener.heed(copied)
         return True
 
-    def get(self, name: str) -> Copied | None:
+    def get(self, name: str) -> MirroredObject | None:
         """Look one object up; a deleted one is not found."""
         copied = self._copies.get(name)
         if copied is None or copied.document is None:
             return None
         return copied
 
-    def below(self, prefix: str) -> Iterator[Copied]:
+    def with_prefix(self, prefix: str) -> Iterator[MirroredObject]:
         """Yield the objects below a prefix."""
         for name, copied in tuple(self._copies.items()):
             if name.startswith(prefix) and copied.document is not None:
                 yield copied
 
-    def since(self, after: int) -> Iterator[Copied]:
+    def since(self, after: int) -> Iterator[MirroredObject]:
         """Yield what has changed after a revision, deletions too."""
         for copied in self._copies.values():
             if copied.version > after:
--- a/gentiantrestle/daemon/configuration/service.py
+++ b/gentiantrestle/daemon/configuration/service.py
@@ -9,7 +9,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.configuration.mirror import Copied, Mirror
+from gentiantrestle.daemon.configuration.mirror import Mirror, MirroredObject
 from gentiantrestle.daemon.membership.peers import PeerError
 from gentiantrestle.daemon.membership.rendezvous import owner
 from gentiantrestle.daemon.membership.service import Membership
@@ -53,8 +53,8 @@
         self.fleet: FleetDoc = EMPTY_FLEET
         self.loaded = asyncio.Event()
         self.applied_at = ctx.wall()
-        self.mirror.listen(FLEET, self._take_fleet)
-        membership.answer('changes_request', self._answer_changes)
+        self.mirror.add_listener(FLEET, self._take_fleet)
+        membership.register_handler('changes_request', self._answer_changes)
 
     async def run(self) -> None:
         """Load, then follow the store or a peer until cancelled."""
@@ -63,13 +63,15 @@
             group.create_task(self._follow_peers())
             group.create_task(self._compare())
 
-    def take(self, name: str, version: int, document: dict) -> None:
+    def update_mirror(self, name: str, version: int, document: dict) -> None:
         """Take in an object that this instance has read or written."""
-        self.mirror.take(Copied(name, version, document))
+        self.mirror.update(MirroredObject(name, version, document))
 
     def is_relay(self) -> bool:
         """Tell whether this instance watches the store for its zone."""
-        names = self._membership.view.names(self._ctx.now(), self._ctx.cfg.zone)
+        names = self._membership.view.live_names(
+            self._ctx.now(), self._ctx.cfg.zone
+        )
         return owner('relay', names) == self._ctx.cfg.instance
 
     async def refresh(self) -> None:
@@ -114,7 +116,7 @@
                 await asyncio.sleep(RETRY_PERIOD)
 
     def _most_advanced(self) -> Member | None:
-        members = self._membership.view.alive(self._ctx.now())
+        members = self._membership.view.live_members(self._ctx.now())
         best = max(
             members,
             key=lambda member: (
@@ -162,34 +164,34 @@
         changes = map(_from_listed, listing['objects'])
         self._apply(changes, listing['revision'])
 
-    def _apply(self, changes: Iterable[Copied], revision: int) -> None:
+    def _apply(self, changes: Iterable[MirroredObject], revision: int) -> None:
         self.mirror.apply(changes, revision)
         self.loaded.set()
-        self._membership.view.say(store_revision=self.mirror.revision)
+        self._membership.view.update_local(store_revision=self.mirror.revision)
 
-    def _take_fleet(self, copied: Copied) -> None:
+    def _take_fleet(self, copied: MirroredObject) -> None:
         fleet = copied.document
         if fleet is None or fleet['revision'] <= self.fleet['revision']:
             return
         self.fleet = fleet
         self.applied_at = self._ctx.wall()
-        self._membership.view.say(config_revision=fleet['revision'])
+        self._membership.view.update_local(config_revision=fleet['revision'])
         self._ctx.metrics.config_revision.set({}, fleet['revision'])
         events.emit(events.CONFIG_APPLIED, revision=fleet['revision'])
 
 
-def _from_listed(listed: Listed) -> Copied:
-    return Copied(listed['name'], listed['version'], listed.get('body'))
+def _from_listed(listed: Listed) -> MirroredObject:
+    return MirroredObject(listed['name'], listed['version'], listed.get('body'))
 
 
-def _from_wire(change: Change) -> Copied:
+def _from_wire(change: Change) -> MirroredObject:
     document = None
     if change.payload is not None:
         document = msgspec.json.decode(change.payload)
-    return Copied(change.name, change.version, document)
+    return MirroredObject(change.name, change.version, document)
 
 
-def _to_wire(copied: Copied) -> Change:
+def _to_wire(copied: MirroredObject) -> Change:
     payload = None
     if copied.document is not None:
         payload = msgspec.json.encode(copied.document)
--- a/gentiantrestle/daemon/entry/administration.py
+++ b/gentiantrestle/daemon/entry/administration.py
@@ -15,7 +15,7 @@
 @route('GET', '/admin/config', OPERATOR)
 async def show_config(entry: Entry, visit: Visit) -> Response:
     """Show the configuration that is in force here."""
-    fleet = entry.parts.configuration.fleet
+    fleet = entry.components.configuration.fleet
     shown = {kind: fleet[kind] for kind in KINDS}
     return answer_json({REVISION: fleet['revision'], **shown})
 
@@ -27,7 +27,7 @@
     based_on = document.get(REVISION)
     if not isinstance(based_on, int):
         raise refuse(BAD_REQUEST, 'The field "revision" is no whole number')
-    applied = await entry.parts.admin.apply(Proposal(document, based_on))
+    applied = await entry.components.admin.apply(Proposal(document, based_on))
     if isinstance(applied, Refusal):
         raise RefusedError(applied)
     return answer_json({REVISION: applied['revision']})
@@ -47,30 +47,31 @@
     text = visit.fields[REVISION]
     if not text.isdigit():
         raise refuse(BAD_REQUEST, f'{text!r} is no revision')
-    return answer_json(await entry.parts.admin.recall(int(text)))
+    return answer_json(await entry.components.admin.recall(int(text)))
 
 
 @route('GET', '/admin/status', OPERATOR)
 async def show_status(entry: Entry, visit: Visit) -> Response:
     """Show what this instance knows of itself and of the fleet."""
-    parts = entry.parts
-    now = parts.ctx.now()
-    alive = set(parts.membership.view.names(now))
+    components = entry.components
+    now = components.ctx.now()
+    alive = set(components.membership.view.live_names(now))
     return answer_json(
         {
-            'instance': parts.ctx.cfg.instance,
-            'zone': parts.ctx.cfg.zone,
+            'instance': components.ctx.cfg.instance,
+            'zone': components.ctx.cfg.zone,
             'ready': entry.ready,
-            'config_revision': parts.configuration.fleet['revision'],
-            'config_age': parts.ctx.wall() - parts.configuration.applied_at,
-            'store_reachable': parts.store.reachable,
-            'relay': parts.configuration.is_relay(),
-            'waiting': parts.online.admission.waiting,
+            'config_revision': components.configuration.fleet['revision'],
+            'config_age': components.ctx.wall()
+            - components.configuration.applied_at,
+            'store_reachable': components.store.reachable,
+            'relay': components.configuration.is_relay(),
+            'waiting': components.online.admission.waiting,
             'members': [
                 _describe(member, member.instance in alive)
-                for member in parts.membership.view.members()
+                for member in components.membership.view.members()
             ],
-            'upstreams': parts.fleet.describe(now),
+            'upstreams': components.fleet.describe(now),
         }
     )
 
--- a/gentiantrestle/daemon/entry/callers.py
+++ b/gentiantrestle/daemon/entry/callers.py
@@ -32,14 +32,14 @@
 async def answer_metrics(entry: Entry, visit: Visit) -> Response:
     """Show the metrics."""
     accepts = tuple(visit.req.headers.get('accept', '*/*').split(','))
-    body, content_type = entry.parts.ctx.metrics.render(accepts)
+    body, content_type = entry.components.ctx.metrics.render(accepts)
     return Response(HTTPStatus.OK, body, content_type)
 
 
 @route('GET', '/v1/models', CLIENT)
 async def answer_models(entry: Entry, visit: Visit) -> Response:
     """List the endpoints."""
-    endpoints = entry.parts.configuration.fleet['endpoints']
+    endpoints = entry.components.configuration.fleet['endpoints']
     models = [{'id': name, 'object': 'model'} for name in sorted(endpoints)]
     return answer_json({'object': 'list', 'data': models})
 
@@ -49,12 +49,12 @@
 async def answer_completion(entry: Entry, visit: Visit) -> Response:
     """Answer a prompt, as a stream or whole."""
     _require_ready(entry)
-    raw = await visit.req.read(entry.parts.ctx.cfg.max_body)
+    raw = await visit.req.read(entry.components.ctx.cfg.max_body)
     work = completion_work(
         visit.identity.client,
         visit.req,
         raw,
-        entry.parts.configuration.fleet,
+        entry.components.configuration.fleet,
     )
     return await _answer(entry, visit, work)
 
@@ -64,12 +64,12 @@
 async def answer_service(entry: Entry, visit: Visit) -> Response:
     """Pass a call on to a plain service."""
     _require_ready(entry)
-    raw = await visit.req.read(entry.parts.ctx.cfg.max_body)
+    raw = await visit.req.read(entry.components.ctx.cfg.max_body)
     work = service_work(
         visit.identity.client,
         visit.req,
         raw,
-        entry.parts.configuration.fleet,
+        entry.components.configuration.fleet,
         visit.fields,
     )
     return await _answer(entry, visit, work)
@@ -77,7 +77,7 @@
 
 async def _answer(entry: Entry, visit: Visit, work: OnlineRequest) -> Response:
     key = visit.req.headers.get(KEY_HEADER)
-    return await entry.parts.online.answer(work, key)
+    return await entry.components.online.answer(work, key)
 
 
 def _require_ready(entry: Entry) -> None:
--- a/gentiantrestle/daemon/entry/jobs.py
+++ b/gentiantrestle/daemon/entry/jobs.py
@@ -20,7 +20,7 @@
 async def submit_job(entry: Entry, visit: Visit) -> Response:
     """Accept a job of JSON lines."""
     client = visit.identity.client
-    settings = entry.parts.configuration.fleet['clients'].get(client, {})
+    settings = entry.components.configuration.fleet['clients'].get(client, {})
     submission = Submission(
         client,
         visit.req.headers.get(KEY_HEADER) or uuid4().hex,
--- a/gentiantrestle/daemon/entry/reports.py
+++ b/gentiantrestle/daemon/entry/reports.py
@@ -41,8 +41,8 @@
 async def answer_report(entry: Entry, visit: Visit) -> Response:
     """Report burn rates and jobs at risk as JSON."""
     scope = _scope(visit)
-    gathered = await entry.parts.reporter.gather(scope)
-    risks = await entry.parts.reporter.risks()
+    gathered = await entry.components.reporter.gather(scope)
+    risks = await entry.components.reporter.risks()
     return answer_json(
         {
             'scope': scope,
@@ -63,8 +63,8 @@
 async def answer_report_page(entry: Entry, visit: Visit) -> Response:
     """Report burn rates and jobs at risk as a page with plots."""
     scope = _scope(visit)
-    gathered = await entry.parts.reporter.gather(scope)
-    risks = await entry.parts.reporter.risks()
+    gathered = await entry.components.reporter.gather(scope)
+    risks = await entry.components.reporter.risks()
     return Response(body=_page(scope, gathered, risks), content_type=HTML)
 
 
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -29,7 +29,7 @@
 RETRY_AFTER = 1  # seconds
 
 
-class Parts(NamedTuple):
+class Components(NamedTuple):
     """The other children, as the routes reach them."""
 
     ctx: Context
@@ -54,13 +54,13 @@
 class Entry:
     """Serves callers, operators and probes on one port."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, components: Components) -> None:
         """Bound the server as the settings say."""
-        cfg = parts.ctx.cfg
-        self.parts = parts
+        cfg = components.ctx.cfg
+        self.components = components
         self.cfg = cfg
-        self.batch = parts.batch
-        self._requests = parts.ctx.metrics.requests
+        self.batch = components.batch
+        self._requests = components.ctx.metrics.requests
         self.stopping = False
         self._server = Server(
             self._answer,
@@ -83,13 +83,15 @@
         cut = await self._server.stop(grace)
         with suppress(TimeoutError):
             async with asyncio.timeout(grace):
-                await self.parts.online.at_most_once.finish()
-        return cut + self.parts.online.at_most_once.running
+                await self.components.online.at_most_once.finish()
+        return cut + self.components.online.at_most_once.running
 
     @property
     def ready(self) -> bool:
         """Tell whether callers should come to this instance."""
-        return self.parts.configuration.loaded.is_set() and not self.stopping
+        return (
+            self.components.configuration.loaded.is_set() and not self.stopping
+        )
 
     async def _answer(self, req: Request) -> Response:
         match = routes.find(req)
@@ -122,7 +124,7 @@
     def _identify(self, role: str, req: Request) -> Identity:
         identity = identify(
             req.headers.get('authorization', ''),
-            self.parts.configuration.fleet,
+            self.components.configuration.fleet,
             self.cfg.admin_key_hash,
         )
         if isinstance(identity, Refusal):
--- a/gentiantrestle/daemon/membership/service.py
+++ b/gentiantrestle/daemon/membership/service.py
@@ -17,7 +17,7 @@
     PeerHandler,
     PeerServer,
 )
-from gentiantrestle.daemon.membership.view import Member, State, View
+from gentiantrestle.daemon.membership.view import Member, MembershipView, State
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer.ttypes import Envelope, Heartbeat
 from gentiantrestle.wire.peer.ttypes import Member as WireMember
@@ -37,7 +37,7 @@
 class Membership:
     """The child that keeps the view of live instances."""
 
-    def __init__(self, ctx: Context, view: View) -> None:
+    def __init__(self, ctx: Context, view: MembershipView) -> None:
         """Keep the view; other children add their peer calls."""
         self._ctx = ctx
         self.view = view
@@ -65,9 +65,9 @@
             http_port=cfg.http_port,
             state=State.STARTING,
         )
-        return cls(ctx, View(me, cfg.silence))
+        return cls(ctx, MembershipView(me, cfg.silence))
 
-    def answer(
+    def register_handler(
         self,
         field: str,
         handle: PeerHandler,
@@ -123,7 +123,7 @@
         zone = self._ctx.cfg.zone
         alive = [
             member
-            for member in self.view.alive(now)
+            for member in self.view.live_members(now)
             if member.instance != self.view.me.instance
         ]
         near = [member for member in alive if member.zone == zone]
@@ -140,7 +140,7 @@
 
     def _strangers(self, now: float) -> Iterator[Address]:
         """Yield one known address that is not heard of, to knock at."""
-        alive = {_address(member) for member in self.view.alive(now)}
+        alive = {_address(member) for member in self.view.live_members(now)}
         known = {_address(member) for member in self.view.members()}
         known.update(self._ctx.cfg.peer_addresses)
         silent = sorted(known - alive - {_address(self.view.me)})
@@ -182,7 +182,7 @@
 
     def _note_lost(self, now: float) -> None:
         names = {member.instance for member in self.view.members()}
-        for instance in names - set(self.view.names(now)) - self._lost:
+        for instance in names - set(self.view.live_names(now)) - self._lost:
             if instance != self.view.me.instance:
                 self._lost.add(instance)
                 events.emit(events.MEMBER_LOST, instance=instance)
--- a/gentiantrestle/daemon/membership/view.py
+++ b/gentiantrestle/daemon/membership/view.py
@@ -53,7 +53,7 @@
     at: float
 
 
-class View:
+class MembershipView:
     """Members and their liveness, by silence on the local clock."""
 
     def __init__(self, me: Member, silence: float) -> None:
@@ -74,7 +74,7 @@
             if last - heard.at <= self._silence:
                 self._heard[name] = heard._replace(at=now)
 
-    def say(self, **changes: object) -> None:
+    def update_local(self, **changes: object) -> None:
         """Change what the own entry tells; leaving is final."""
         if self.me.state is State.LEAVING:
             changes.pop('state', None)
@@ -101,7 +101,7 @@
         """All that is known, the own entry first."""
         return (self.me, *(heard.member for heard in self._heard.values()))
 
-    def alive(self, now: float) -> Iterator[Member]:
+    def live_members(self, now: float) -> Iterator[Member]:
         """Members that are heard of and not leaving, the own one first."""
         if self.me.state is not State.LEAVING:
             yield self.me
@@ -109,11 +109,11 @@
             if self._is_alive(heard, now):
                 yield heard.member
 
-    def names(self, now: float, zone: str | None = None) -> list[str]:
+    def live_names(self, now: float, zone: str | None = None) -> list[str]:
         """Names of live members, of one zone if given."""
         return [
             member.instance
-            for member in self.alive(now)
+            for member in self.live_members(now)
             if zone in {None, member.zone}
         ]
 
@@ -126,7 +126,7 @@
             return False
         return self._is_alive(heard, now)
 
-    def doubtful(self, now: float, zone: str, quiet: float) -> int:
+    def count_suspects(self, now: float, zone: str, quiet: float) -> int:
         """Count a zone's members that are quiet, but not for long enough.
 
         ``quiet`` in s is when doubt begins; it ends a while after the
@@ -149,7 +149,7 @@
         if now - heard.at <= self._silence * MISSING_TERMS:
             return False
         zone = heard.member.zone
-        return any(member.zone == zone for member in self.alive(now))
+        return any(member.zone == zone for member in self.live_members(now))
 
     def find(self, instance: str) -> Member | None:
         """Look a member up by name."""
--- a/gentiantrestle/daemon/online/at_most_once.py
+++ b/gentiantrestle/daemon/online/at_most_once.py
@@ -127,7 +127,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._locks: dict[str, asyncio.Lock] = {}
         self._uncertain_claims: set[str] = set()
-        membership.answer('answer_request', self._answer_peer)
+        membership.register_handler('answer_request', self._answer_peer)
 
     @property
     def running(self) -> int:
--- a/gentiantrestle/daemon/online/service.py
+++ b/gentiantrestle/daemon/online/service.py
@@ -53,13 +53,13 @@
         If a non-repeatable request has a key, it runs at most once, and a
         resend with the same key gets the first answer.
         """
-        measure = self.reporter.measure(request.endpoint)
+        measure = self.reporter.start_measurement(request.endpoint)
         try:
             response = await self._answer(request, key)
         except RefusedError as exc:
-            measure.refused(exc)
+            measure.record_refusal(exc)
             raise
-        return measure.answered(response)
+        return measure.record_response(response)
 
     async def _answer(
         self, request: OnlineRequest, key: str | None
--- a/gentiantrestle/daemon/report/burn.py
+++ b/gentiantrestle/daemon/report/burn.py
@@ -70,7 +70,7 @@
         """Start without events."""
         self._buckets: dict[Subject, deque[Bucket]] = defaultdict(deque)
 
-    def note(self, subject: Subject, now: float, *, good: bool) -> None:
+    def record(self, subject: Subject, now: float, *, good: bool) -> None:
         """Count one event."""
         index = int(now // BUCKET)
         buckets = self._buckets[subject]
@@ -84,7 +84,7 @@
     def measure(self, subject: Subject, seconds: float, now: float) -> None:
         """Count a time as good or bad by its objective's bound."""
         bound = OBJECTIVES[subject.objective].bound
-        self.note(subject, now, good=bound is None or seconds <= bound)
+        self.record(subject, now, good=bound is None or seconds <= bound)
 
     def rows(self, now: float) -> Iterator[Row]:
         """Yield the events of each subject within each window."""
--- a/gentiantrestle/daemon/report/measured.py
+++ b/gentiantrestle/daemon/report/measured.py
@@ -34,13 +34,13 @@
         self._endpoint = endpoint
         self._began = ctx.now()
 
-    def refused(self, exc: RefusedError) -> None:
+    def record_refusal(self, exc: RefusedError) -> None:
         """Count a refusal, unless the caller's own request is at fault."""
         kind = exc.refusal.kind
         if kind is OVERLOADED or kind.status >= SERVER_ERROR:
             self._available(good=False)
 
-    def answered(self, response: Response) -> Response:
+    def record_response(self, response: Response) -> Response:
         """Count an answer, a stream when it has ended."""
         body = response.body
         if isinstance(body, bytes):
@@ -66,7 +66,7 @@
 
     def _available(self, *, good: bool) -> None:
         subject = Subject(self._endpoint, AVAILABILITY)
-        self._counter.note(subject, self._ctx.now(), good=good)
+        self._counter.record(subject, self._ctx.now(), good=good)
 
     def _time(self, objective: str, seconds: float) -> None:
         subject = Subject(self._endpoint, objective)
--- a/gentiantrestle/daemon/report/service.py
+++ b/gentiantrestle/daemon/report/service.py
@@ -12,7 +12,7 @@
     JobRecord,
 )
 from gentiantrestle.daemon.batch.schedule import order_jobs
-from gentiantrestle.daemon.configuration.mirror import Copied
+from gentiantrestle.daemon.configuration.mirror import MirroredObject
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.membership.peers import PeerError
 from gentiantrestle.daemon.membership.service import Membership
@@ -66,8 +66,8 @@
         self._reader = reader
         self._counter = BurnCounter()
         self._ended: asyncio.Queue[JobRecord] = asyncio.Queue()
-        membership.answer('report_request', self._answer_peer)
-        configuration.mirror.listen(JOB_PREFIX, self._heed_job)
+        membership.register_handler('report_request', self._answer_peer)
+        configuration.mirror.add_listener(JOB_PREFIX, self._heed_job)
 
     async def run(self) -> None:
         """Count the jobs that end, by their deadlines, until cancelled."""
@@ -75,9 +75,9 @@
             job = await self._ended.get()
             subject = Subject(job['endpoint'], BATCH_DEADLINE)
             in_time = job['finished'] <= job['deadline']
-            self._counter.note(subject, self._ctx.now(), good=in_time)
+            self._counter.record(subject, self._ctx.now(), good=in_time)
 
-    def measure(self, endpoint: str) -> Measure:
+    def start_measurement(self, endpoint: str) -> Measure:
         """Begin to measure one answer."""
         return Measure(self._ctx, self._counter, endpoint)
 
@@ -98,7 +98,7 @@
         """Predict the ends of the most urgent running jobs."""
         jobs = [
             copied.document
-            for copied in self._configuration.mirror.below(JOB_PREFIX)
+            for copied in self._configuration.mirror.with_prefix(JOB_PREFIX)
         ]
         urgent = order_jobs(jobs)[:MAX_JOBS]
         return [await self._risk(job) for job in urgent]
@@ -131,7 +131,7 @@
         zone = self._ctx.cfg.zone
         return [
             member
-            for member in self._membership.view.alive(self._ctx.now())
+            for member in self._membership.view.live_members(self._ctx.now())
             if member.instance != self._ctx.cfg.instance
             and (scope == FLEET or member.zone == zone)
         ]
@@ -152,7 +152,7 @@
         report = Report(rows=[ReportRow(*row) for row in rows])
         return Envelope(report=report)
 
-    def _heed_job(self, copied: Copied) -> None:
+    def _heed_job(self, copied: MirroredObject) -> None:
         """Count a job once in the fleet: where it was finished."""
         job = copied.document or {}
         if job.get('state') != COMPLETED:
--- a/gentiantrestle/daemon/tree.py
+++ b/gentiantrestle/daemon/tree.py
@@ -7,7 +7,7 @@
 from gentiantrestle.daemon.configuration.admin import Admin
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.entry import administration, callers, jobs, reports
-from gentiantrestle.daemon.entry.service import Entry, Parts
+from gentiantrestle.daemon.entry.service import Components, Entry
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.membership.view import State
 from gentiantrestle.daemon.online.service import OnlineService
@@ -20,28 +20,28 @@
 NOTICE_TIME = 1.0  # seconds
 
 
-class Tree:
+class SupervisionTree:
     """All children of the daemon."""
 
-    def __init__(self, parts: Parts) -> None:
-        """Supervise the parts; each is a folder beside this module."""
-        self.parts = parts
-        self._entry = Entry(parts)
+    def __init__(self, components: Components) -> None:
+        """Supervise the components; each is a folder beside this module."""
+        self.components = components
+        self._entry = Entry(components)
         self._supervisor = Supervisor(
             (
-                Child('membership', parts.membership.run),
-                Child('configuration', parts.configuration.run),
-                Child('upstreams', parts.fleet.run),
-                Child('online', parts.online.run),
-                Child('batch', parts.batch.run),
-                Child('report', parts.reporter.run),
+                Child('membership', components.membership.run),
+                Child('configuration', components.configuration.run),
+                Child('upstreams', components.fleet.run),
+                Child('online', components.online.run),
+                Child('batch', components.batch.run),
+                Child('report', components.reporter.run),
                 Child('entry', self._entry.run),
             ),
-            parts.ctx.now,
+            components.ctx.now,
         )
 
     @classmethod
-    def from_config(cls, ctx: Context) -> 'Tree':
+    def from_config(cls, ctx: Context) -> 'SupervisionTree':
         """Build the children, each with what it needs of the others."""
         store = StoreClient(ctx)
         membership = Membership.from_config(ctx)
@@ -50,7 +50,7 @@
         batch = Batch(ctx, store, configuration, membership, fleet)
         reporter = Reporter(ctx, membership, configuration, batch.client_jobs)
         return cls(
-            Parts(
+            Components(
                 ctx=ctx,
                 store=store,
                 membership=membership,
@@ -71,16 +71,16 @@
 
     async def stop(self, grace: float) -> int:
         """Leave, hand batch work over, finish requests; count the cut."""
-        view = self.parts.membership.view
-        view.say(state=State.LEAVING)
+        view = self.components.membership.view
+        view.update_local(state=State.LEAVING)
         self._entry.stopping = True
-        await self.parts.membership.announce()
-        await self.parts.batch.stop()
+        await self.components.membership.announce()
+        await self.components.batch.stop()
         cut = await self._entry.stop(grace)
-        self.parts.membership.peers.close()
-        self.parts.store.close()
+        self.components.membership.peers.close()
+        self.components.store.close()
         return cut
 
     async def _serve_when_loaded(self) -> None:
-        await self.parts.configuration.loaded.wait()
-        self.parts.membership.view.say(state=State.SERVING)
+        await self.components.configuration.loaded.wait()
+        self.components.membership.view.update_local(state=State.SERVING)
--- a/gentiantrestle/daemon/upstreams/loads.py
+++ b/gentiantrestle/daemon/upstreams/loads.py
@@ -43,7 +43,7 @@
         self._reports: dict[str, ReceivedReport] = {}
         self._changed = asyncio.Event()
         self._listeners: list[Callable[[str], None]] = []
-        membership.answer('load_report', self._receive_report)
+        membership.register_handler('load_report', self._receive_report)
 
     def add_listener(self, callback: Callable[[str], None]) -> None:
         """Call ``callback`` with the upstream's name on each load change."""
@@ -66,7 +66,7 @@
         All instances get them with the next heartbeat, and the owners of
         batch slots, which preempt on online load, also at once.
         """
-        self._membership.view.say(loads=loads)
+        self._membership.view.update_local(loads=loads)
         if not owners:
             return
         report = LoadReport(
@@ -78,7 +78,7 @@
     def remote_totals(self, now: float) -> dict[str, Load]:
         """Add up the loads of the other live instances, by upstream."""
         totals: dict[str, Load] = {}
-        for member in self._membership.view.alive(now):
+        for member in self._membership.view.live_members(now):
             if member.instance != self._ctx.cfg.instance:
                 for load in self._latest_loads(member, now):
                     _add(totals, load)
@@ -90,7 +90,7 @@
         These have been silent for several heartbeats, and not for so long
         that they can be taken to be gone.
         """
-        return self._membership.view.doubtful(
+        return self._membership.view.count_suspects(
             now,
             self._ctx.cfg.zone,
             UNCERTAIN_AFTER_BEATS * self._ctx.cfg.heartbeat,
--- a/gentiantrestle/daemon/upstreams/service.py
+++ b/gentiantrestle/daemon/upstreams/service.py
@@ -5,7 +5,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.configuration.mirror import Copied
+from gentiantrestle.daemon.configuration.mirror import MirroredObject
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.membership.rendezvous import owner
 from gentiantrestle.daemon.membership.service import Membership
@@ -70,7 +70,7 @@
         self._regions: dict[str, str] = {}
         self.loads = LoadExchange(ctx, membership)
         self.leaving = LeavingUpstreams()
-        configuration.mirror.listen(LIVE_PREFIX, self._apply_live_list)
+        configuration.mirror.add_listener(LIVE_PREFIX, self._apply_live_list)
 
     async def run(self) -> None:
         """Publish this instance's loads on each change until cancelled."""
@@ -151,7 +151,7 @@
         settings = self.settings(name)
         if settings['zone'] != self._ctx.cfg.zone:
             return 0
-        names = self._view.names(now, settings['zone'])
+        names = self._view.live_names(now, settings['zone'])
         return settings['slots'] // max(1, len(names))
 
     def batch_owner(self, name: str, now: float) -> str | None:
@@ -163,7 +163,7 @@
         settings = self.settings(name)
         if settings is None:
             return None
-        names = self._view.names(now, settings['zone'])
+        names = self._view.live_names(now, settings['zone'])
         return owner(f'slots/{name}', names)
 
     def online_pressure(self, name: str, now: float) -> OnlinePressure:
@@ -231,7 +231,7 @@
             return region
         return self._view.region_of(zone)
 
-    def _apply_live_list(self, copied: Copied) -> None:
+    def _apply_live_list(self, copied: MirroredObject) -> None:
         document: dict[str, Any] = copied.document or {}
         zone = copied.name.removeprefix(LIVE_PREFIX)
         self._regions[zone] = document.get('region', '')
--- a/tests/decisions/test_burn.py
+++ b/tests/decisions/test_burn.py
@@ -21,8 +21,8 @@
 
 def test_events_leave_the_short_window_first() -> None:
     counter = BurnCounter()
-    counter.note(CHAT, 0, good=False)
-    counter.note(CHAT, 400, good=True)
+    counter.record(CHAT, 0, good=False)
+    counter.record(CHAT, 400, good=True)
     rows = _rows(counter, 400)
     assert (rows[300].good, rows[300].bad) == (1, 0)
     assert (rows[3600].good, rows[3600].bad) == (1, 1)
--- a/tests/decisions/test_configuration.py
+++ b/tests/decisions/test_configuration.py
@@ -10,7 +10,7 @@
 from gentiantrestle.daemon.batch.parser import chunk_item_limit
 from gentiantrestle.daemon.configuration.admin import Proposal, decide
 from gentiantrestle.daemon.configuration.document import validate
-from gentiantrestle.daemon.configuration.mirror import Copied, Mirror
+from gentiantrestle.daemon.configuration.mirror import Mirror, MirroredObject
 from gentiantrestle.errors import Refusal
 from gentiantrestle.library.draft import Draft
 
@@ -105,10 +105,10 @@
 def test_a_copy_never_goes_back(changes: list[tuple[int, bool]]) -> None:
     mirror = Mirror()
     seen = []
-    mirror.listen('conf/', lambda copied: seen.append(copied.version))
+    mirror.add_listener('conf/', lambda copied: seen.append(copied.version))
     for version, deleted in changes:
         document = None if deleted else {'at': version}
-        mirror.apply([Copied('conf/x', version, document)], version)
+        mirror.apply([MirroredObject('conf/x', version, document)], version)
     assert seen == sorted(set(seen))
     versions = [version for version, _ in changes]
     assert mirror.revision == max(versions, default=0)
@@ -117,7 +117,11 @@
 def test_a_copy_passes_on_what_has_changed() -> None:
     mirror = Mirror()
     mirror.apply(
-        [Copied('a', 1, {}), Copied('b', 5, {}), Copied('c', 7, None)],
+        [
+            MirroredObject('a', 1, {}),
+            MirroredObject('b', 5, {}),
+            MirroredObject('c', 7, None),
+        ],
         7,
     )
     assert {copied.name for copied in mirror.since(4)} == {'b', 'c'}
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from gentiantrestle.daemon.membership.rendezvous import owner, rank
-from gentiantrestle.daemon.membership.view import Member, State, View
+from gentiantrestle.daemon.membership.view import Member, MembershipView, State
 
 SILENCE = 2.0
 
@@ -25,8 +25,8 @@
     return Member(**{**fields, **changes})
 
 
-def _view(*members: Member, now: float = 0) -> View:
-    view = View(_member('me'), SILENCE)
+def _view(*members: Member, now: float = 0) -> MembershipView:
+    view = MembershipView(_member('me'), SILENCE)
     view.merge(members, now)
     return view
 
@@ -36,39 +36,39 @@
     [(0, True), (SILENCE, True), (SILENCE + 0.1, False)],
 )
 def test_silence_makes_a_member_lost(now: float, alive: bool) -> None:
-    assert ('x' in _view(_member('x')).names(now)) is alive
+    assert ('x' in _view(_member('x')).live_names(now)) is alive
 
 
 def test_an_old_beat_does_not_revive() -> None:
     view = _view(_member('x', beat=5))
     assert view.merge([_member('x', beat=5)], 9) == []
     assert view.merge([_member('x', beat=4)], 9) == []
-    assert view.names(9) == ['me']
+    assert view.live_names(9) == ['me']
     assert view.merge([_member('x', beat=6)], 9) == ['x']
 
 
 def test_leaving_sticks_until_a_new_incarnation() -> None:
     view = _view(_member('x', state=State.LEAVING))
     view.merge([_member('x', beat=2)], 1)
-    assert view.names(1) == ['me']
+    assert view.live_names(1) == ['me']
     view.merge([_member('x', incarnation=2)], 1)
-    assert view.names(1) == ['me', 'x']
+    assert view.live_names(1) == ['me', 'x']
 
 
 def test_own_leaving_is_final() -> None:
     view = _view()
-    view.say(state=State.LEAVING)
-    view.say(state=State.SERVING)
-    assert view.names(0) == []
+    view.update_local(state=State.LEAVING)
+    view.update_local(state=State.SERVING)
+    assert view.live_names(0) == []
 
 
 def test_own_pause_is_no_silence_of_others() -> None:
     view = _view(_member('x'))
     view.tick(0.5)
     view.tick(60)
-    assert view.names(60) == ['me', 'x']
+    assert view.live_names(60) == ['me', 'x']
     view.tick(60.1)
-    assert view.names(60 + SILENCE + 0.2) == ['me']
+    assert view.live_names(60 + SILENCE + 0.2) == ['me']
 
 
 def test_a_restarted_instance_is_another_one() -> None:
--- a/tests/utils/zones.py
+++ b/tests/utils/zones.py
@@ -7,7 +7,7 @@
 from gentiantrestle.config import Settings
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.membership.peers import PeerError
-from gentiantrestle.daemon.tree import Tree
+from gentiantrestle.daemon.tree import SupervisionTree
 from gentiantrestle.http.connection import Limits
 from gentiantrestle.http.server import Server
 from gentiantrestle.models import Address
@@ -142,13 +142,13 @@
             },
             {},
         )
-        tree = Tree.from_config(Context.from_config(cfg))
+        tree = SupervisionTree.from_config(Context.from_config(cfg))
         self._cut_link(tree, self.zones[index])
         self._tasks.append(asyncio.create_task(tree.run()))
 
-    def _cut_link(self, tree: Tree, zone: str) -> None:
+    def _cut_link(self, tree: SupervisionTree, zone: str) -> None:
         """Let calls between a cut zone and the others fail."""
-        peers = tree.parts.membership.peers
+        peers = tree.components.membership.peers
         call = peers.call
 
         async def call_unless_cut(
