--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -114,7 +114,9 @@
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
         except StoreOutcomeUnknownError as exc:
-            raise refuse(UPSTREAM_OUTCOME_UNKNOWN, f'The store did not confirm the job: {exc}'
+            raise refuse(
+                UPSTREAM_OUTCOME_UNKNOWN,
+                f'The store did not confirm the job: {exc}',
             ) from exc
         events.emit(
             events.JOB_ACCEPTED, job=job.id, items=len(job.items), new=new
