--- a/gentiantrestle/daemon/batch/__init__.py
+++ b/gentiantrestle/daemon/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of many items, each done exactly once."""
+"""Batch jobs of many items; each item gets exactly one result."""
--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -1,4 +1,4 @@
-"""Accept jobs: store the items first, then the job, then say yes."""
+"""Accept batch jobs: store the items, then the job, then answer."""
 
 import hashlib
 from collections.abc import AsyncIterator
@@ -8,14 +8,14 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.daemon.batch.parser import Intake, Summary
+from gentiantrestle.daemon.batch.parser import JobParser, JobSummary
 from gentiantrestle.daemon.batch.records import (
     JOB_PREFIX,
     RUNNING,
     ItemLine,
     JobRecord,
+    derive_job_id,
     input_name,
-    job_id,
     job_name,
 )
 from gentiantrestle.daemon.configuration.service import Configuration
@@ -36,44 +36,48 @@
 )
 
 RETRY_AFTER = 2  # seconds
-BUSY_RETRY_AFTER = 30  # seconds
+JOB_LIMIT_RETRY_AFTER = 30  # seconds
 
 
 class Submission(NamedTuple):
-    """A job that a client sends."""
+    """A job that a client submits.
+
+    ``window`` is the time until the deadline in seconds, ``body_size`` the
+    size in bytes or 0 if unknown.
+    """
 
     client: str
-    key: str
+    idempotency_key: str
     window: float
-    chunks: AsyncIterator[bytes]
+    body: AsyncIterator[bytes]
     body_size: int
     max_jobs: int
 
 
 class Upload:
-    """The items of one submission, on their way into the store."""
+    """Stores the items of one submission, chunk by chunk."""
 
     def __init__(self, store: StoreClient) -> None:
-        """Give the upload a name that no other one has."""
+        """Give the upload a unique name."""
         self._store = store
         self.name = uuid4().hex
         self.count = 0
 
     async def add(self, items: list[ItemLine]) -> None:
-        """Store one chunk of items."""
+        """Store the items of the next chunk; raise if the store fails."""
         name = input_name(self.name, self.count)
         self.count += 1
         await self._store.put(name, {'items': items}, ABSENT)
 
     async def discard(self) -> None:
-        """Delete what was stored; no job refers to it."""
+        """Delete the stored items of an unused upload; best effort."""
         with suppress(StoreUnavailableError, StoreUnsureError):
             for index in range(self.count):
                 await self._store.delete(input_name(self.name, index))
 
 
 class JobAcceptor:
-    """Turns submissions into jobs; a resend finds the first job."""
+    """Creates jobs from submissions, one per idempotency key."""
 
     def __init__(
         self,
@@ -81,41 +85,45 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """Write through the store; copy what is written."""
+        """Write to the store, and accepted jobs to its local copy too."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
 
     async def accept(self, submission: Submission) -> JobRecord:
-        """Accept a job for good, or raise a refusal that is true."""
-        job = job_id(submission.client, submission.key)
+        """Create the job, or return the one that has the same key and body.
+
+        Raises ``RefusedError``. Its kind says whether the job is certainly not
+        accepted or, if the store did not answer, may have been.
+        """
+        job_id = derive_job_id(submission.client, submission.idempotency_key)
         try:
-            known = await self._store.get(job_name(job))
+            existing = await self._store.get(job_name(job_id))
         except StoreUnavailableError:
-            raise _unavailable() from None
-        if known is not None:
-            digest = await _digest(submission.chunks)
-            return self._same(known, digest)
-        return await self._accept_new(job, submission)
+            raise _store_unavailable() from None
+        if existing is not None:
+            digest = await _digest(submission.body)
+            return self._existing_job(existing, digest)
+        return await self._accept_new(job_id, submission)
 
     async def _accept_new(
         self,
-        job: str,
+        job_id: str,
         submission: Submission,
     ) -> JobRecord:
-        self._check_count(submission)
+        self._check_job_limit(submission)
         upload = Upload(self._store)
         try:
             summary = await self._upload(upload, submission)
         except (StoreUnavailableError, StoreUnsureError):
-            raise _unavailable() from None
+            raise _store_unavailable() from None
         except RefusedError:
             await upload.discard()
             raise
-        record = self._record(job, submission, upload, summary)
+        record = self._new_record(job_id, submission, upload, summary)
         return await self._create_or_refuse(record, upload)
 
-    def _check_count(self, submission: Submission) -> None:
+    def _check_job_limit(self, submission: Submission) -> None:
         running = sum(
             copied.document['state'] == RUNNING
             and copied.document['client'] == submission.client
@@ -124,8 +132,8 @@
         if running >= submission.max_jobs:
             raise refuse(
                 OVERLOADED,
-                f'{running} jobs of this account are running already',
-                BUSY_RETRY_AFTER,
+                f'{running} jobs of this client account are running already',
+                JOB_LIMIT_RETRY_AFTER,
             )
 
     async def _create_or_refuse(
@@ -136,11 +144,11 @@
         try:
             return await self._create(record, upload)
         except StoreUnavailableError:
-            raise _unavailable() from None
+            raise _store_unavailable() from None
         except StoreUnsureError:
             raise refuse(
                 STORE_UNSURE,
-                'The store did not say whether the job was accepted',
+                'The store did not confirm whether the job was accepted',
                 RETRY_AFTER,
             ) from None
 
@@ -148,14 +156,14 @@
         self,
         upload: Upload,
         submission: Submission,
-    ) -> Summary:
-        intake = Intake(self._configuration.fleet, submission.body_size)
-        async for part in submission.chunks:
-            for items in intake.feed(part):
+    ) -> JobSummary:
+        parser = JobParser(self._configuration.fleet, submission.body_size)
+        async for part in submission.body:
+            for items in parser.feed(part):
                 await upload.add(items)
-        for items in intake.finish():
+        for items in parser.finish():
             await upload.add(items)
-        return intake.summary()
+        return parser.summary()
 
     async def _create(self, record: JobRecord, upload: Upload) -> JobRecord:
         name = job_name(record['id'])
@@ -168,35 +176,35 @@
                 items=record['items'],
             )
             return record
-        found = await self._store.get(name)
-        if found is None:
-            raise _unavailable()
-        if found.document['upload'] != upload.name:
+        existing = await self._store.get(name)
+        if existing is None:
+            raise _store_unavailable()
+        if existing.document['upload'] != upload.name:
             await upload.discard()
-        return self._same(found, record['digest'])
+        return self._existing_job(existing, record['digest'])
 
-    def _same(self, found: Versioned, digest: str) -> JobRecord:
-        if found.document['digest'] != digest:
+    def _existing_job(self, existing: Versioned, digest: str) -> JobRecord:
+        if existing.document['digest'] != digest:
             raise refuse(
                 KEY_REUSED,
                 OVERLOADED,
-                'This Idempotency-Key was used for another job',
+                'This Idempotency-Key was already used for another job',
             )
-        name = job_name(found.document['id'])
-        self._configuration.take(name, found.version, found.document)
-        return found.document
+        name = job_name(existing.document['id'])
+        self._configuration.take(name, existing.version, existing.document)
+        return existing.document
 
-    def _record(
+    def _new_record(
         self,
-        job: str,
+        job_id: str,
         submission: Submission,
         upload: Upload,
-        summary: Summary,
+        summary: JobSummary,
     ) -> JobRecord:
-        wall = self._ctx.wall()
+        wall_time = self._ctx.wall()
         endpoint = self._configuration.fleet['endpoints'][summary.endpoint]
         return JobRecord(
-            id=job,
+            id=job_id,
             client=submission.client,
             digest=summary.digest,
             upload=upload.name,
@@ -205,8 +213,8 @@
             url=summary.url,
             items=summary.items,
             chunks=upload.count,
-            created=wall,
-            deadline=wall + submission.window,
+            created=wall_time,
+            deadline=wall_time + submission.window,
             region=self._ctx.cfg.region,
             repeatable=endpoint.get('repeatable', True),
             done=0,
@@ -221,7 +229,7 @@
     return digest.hexdigest()
 
 
-def _unavailable() -> RefusedError:
+def _store_unavailable() -> RefusedError:
     return refuse(
         STORE_UNAVAILABLE,
         'The store does not answer; the job was not accepted',
--- a/gentiantrestle/daemon/batch/caps.py
+++ b/gentiantrestle/daemon/batch/caps.py
@@ -1,28 +1,28 @@
-"""How many batch items an upstream may have; decisions only, no I/O."""
+"""Cap the batch items on an upstream by its online load; no I/O."""
 
 from gentiantrestle.daemon.upstreams.loads import OnlinePressure
 
-MIXED_SHARE = 0.125
+MIXED_LOAD_SHARE = 0.125  # of the slots
 CALM_BEFORE_GROWTH = 0.2  # seconds
-GROWTH = 0.25
-BUSY_SHARE = 0.5
+GROWTH_SHARE = 0.25  # of the slots
+UNCERTAIN_SHARE = 0.5  # of the slots, per uncertain instance
 
 
 class BatchCap:
-    """The cap on one upstream's batch items, kept by their one owner.
+    """Cap on the batch items of one upstream, kept by its batch owner.
 
-    The cap falls at once and grows back in steps after some calm, so that
+    The cap drops at once. It grows back in steps after a calm period, so that
     short gaps between online requests don't make it flap.
     """
 
     def __init__(self, slots: int) -> None:
-        """Start at nothing and grow from there."""
+        """Start with a cap of 0."""
         self._slots = slots
         self.current = 0
         self._calm_since: float | None = None
 
     def update(self, pressure: OnlinePressure, now: float) -> int:
-        """Return the cap that holds from now on."""
+        """Update the cap for the online load at ``now`` and return it."""
         target = target_cap(self._slots, pressure)
         if target <= self.current:
             self.current = target
@@ -31,20 +31,22 @@
         if self._calm_since is None:
             self._calm_since = now - CALM_BEFORE_GROWTH
         if now - self._calm_since >= CALM_BEFORE_GROWTH:
-            step = max(1, int(self._slots * GROWTH))
+            step = max(1, int(self._slots * GROWTH_SHARE))
             self.current = min(target, self.current + step)
             self._calm_since = now - CALM_BEFORE_GROWTH / 2
         return self.current
 
 
 def target_cap(slots: int, pressure: OnlinePressure) -> int:
-    """Return what online leaves; silence reads as busy.
+    """Return how many batch items the online load leaves room for.
 
-    Every running item slows the others of its engine, so an engine that
-    serves online keeps a small share of batch, and only idle ones are full.
+    Each uncertain instance counts as ``UNCERTAIN_SHARE`` of the slots. Every
+    running item slows the others of its engine, so an engine that serves online
+    requests takes only a small share of batch items; an idle one takes them in
+    all of its slots.
     """
     if not pressure.online and not pressure.uncertain_instances:
         return slots
-    feared = int(slots * BUSY_SHARE) * pressure.uncertain_instances
-    left = slots - pressure.online - feared
-    return max(0, min(left, int(slots * MIXED_SHARE)))
+    reserved = int(slots * UNCERTAIN_SHARE) * pressure.uncertain_instances
+    left = slots - pressure.online - reserved
+    return max(0, min(left, int(slots * MIXED_LOAD_SHARE)))
--- a/gentiantrestle/daemon/batch/client_jobs.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -1,4 +1,4 @@
-"""Read jobs, their progress and their results, on any instance."""
+"""Serve clients' requests about their jobs, on any instance."""
 
 from collections.abc import AsyncIterator, Iterator
 from typing import NamedTuple, TypedDict
@@ -36,11 +36,11 @@
 )
 
 RETRY_AFTER = 2  # seconds
-MAX_RACES = 8
+MAX_CANCEL_ATTEMPTS = 8
 
 
 class JobStatus(TypedDict):
-    """A job as its client sees it."""
+    """A job as the API shows it; times are Unix times in seconds."""
 
     id: str
     object: str
@@ -52,15 +52,19 @@
     request_counts: dict[str, int]
 
 
-class Found(NamedTuple):
-    """A job and the version it was read at."""
+class VersionedJob(NamedTuple):
+    """A job and the version at which it was read."""
 
     job: JobRecord
     version: int
 
 
 class ClientJobs:
-    """Answers what clients ask about their jobs."""
+    """Lists, reads and cancels the jobs of clients.
+
+    The methods that use the store raise ``RefusedError`` if it is unavailable
+    or if the client has no such job.
+    """
 
     def __init__(
         self,
@@ -68,69 +72,82 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """Read through the store; lists come from the copy."""
+        """List jobs from the local copy; read and write the store otherwise."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
 
     def jobs_of(self, client: str) -> Iterator[JobRecord]:
-        """Yield the jobs of a client, as the copy knows them."""
+        """Yield a client's jobs from the local copy of the store."""
         for copied in self._configuration.mirror.below(JOB_PREFIX):
             if copied.document['client'] == client:
                 yield copied.document
 
-    async def find(self, client: str, job: str) -> Found:
-        """Read a client's job; those of others are not found."""
+    async def find(self, client: str, job_id: str) -> VersionedJob:
+        """Read a job; refuse it as not found if it is another client's."""
         try:
-            found = await self._store.get(job_name(job))
+            found = await self._store.get(job_name(job_id))
         except StoreUnavailableError:
-            raise unavailable() from None
+            raise store_unavailable() from None
         if found is None or found.document['client'] != client:
-            raise refuse(NOT_FOUND, f'There is no job {job!r}')
-        return Found(found.document, found.version)
-
-    async def status(self, client: str, job: str) -> JobStatus:
-        """Tell how far a job is."""
-        found = await self.find(client, job)
-        done, failed = found.job['done'], found.job['failed']
-        if found.job['state'] == RUNNING:
-            chunks = await self._chunks(job)
+            raise refuse(NOT_FOUND, f'There is no job {job_id!r}')
+        return VersionedJob(found.document, found.version)
+
+    async def status(self, client: str, job_id: str) -> JobStatus:
+        """Return a job's status with the counts of its saved results."""
+        current = await self.find(client, job_id)
+        done, failed = current.job['done'], current.job['failed']
+        if current.job['state'] == RUNNING:
+            chunks = await self._read_chunks(job_id)
             done = sum(chunk['done'] for chunk in chunks.values())
             failed = sum(chunk['failed'] for chunk in chunks.values())
-        return job_status(found.job, done, failed)
-
-    async def results(self, client: str, job: str) -> AsyncIterator[bytes]:
-        """Stream the results that there are, as JSON lines."""
-        found = await self.find(client, job)
-        chunks = await self._chunks(job)
-        return self._lines(found.job, chunks)
-
-    async def cancel(self, client: str, job: str) -> JobStatus:
-        """Cancel a job for good; a cancelled one stays as it is."""
-        for _ in range(MAX_RACES):
-            found = await self.find(client, job)
-            chunks = await self._chunks(job)
-            wanted = cancel_job(found.job, chunks, self._ctx.wall())
-            if isinstance(wanted, Refusal):
-                raise RefusedError(wanted)
-            if found.job['state'] == CANCELLED:
+        return job_status(current.job, done, failed)
+
+    async def results(self, client: str, job_id: str) -> AsyncIterator[bytes]:
+        """Stream the results saved so far, as JSON lines.
+
+        The stream raises ``StoreUnavailableError`` if a part can't be read.
+        """
+        current = await self.find(client, job_id)
+        chunks = await self._read_chunks(job_id)
+        return self._result_lines(current.job, chunks)
+
+    async def cancel(self, client: str, job_id: str) -> JobStatus:
+        """Cancel a job; one that is already cancelled stays as it is.
+
+        Raises ``RefusedError`` if the job has completed or if the store did not
+        confirm the change.
+        """
+        for _ in range(MAX_CANCEL_ATTEMPTS):
+            current = await self.find(client, job_id)
+            chunks = await self._read_chunks(job_id)
+            cancelled = cancel_job(current.job, chunks, self._ctx.wall())
+            if isinstance(cancelled, Refusal):
+                raise RefusedError(cancelled)
+            if current.job['state'] == CANCELLED:
+                return job_status(
+                    current.job, current.job['done'], current.job['failed']
+                )
+            if await self._write_job(cancelled, current.version):
                 return job_status(
-                    found.job, found.job['done'], found.job['failed']
+                    cancelled, cancelled['done'], cancelled['failed']
                 )
-            if await self._write(wanted, found.version):
-                return job_status(wanted, wanted['done'], wanted['failed'])
-        raise refuse(STORE_UNSURE, 'The job kept changing', RETRY_AFTER)
+        raise refuse(
+            STORE_UNSURE,
+            'The job changed during every attempt to cancel it',
+            RETRY_AFTER,
+        )
 
-    async def _write(self, job: JobRecord, version: int) -> bool:
+    async def _write_job(self, job: JobRecord, version: int) -> bool:
         name = job_name(job['id'])
         try:
             written = await self._store.put(name, dict(job), version)
         except StoreUnavailableError:
-            raise unavailable() from None
+            raise store_unavailable() from None
         except StoreUnsureError:
             raise refuse(
                 STORE_UNSURE,
-                'The store did not say whether the job was cancelled',
+                'The store did not confirm whether the job was cancelled',
                 RETRY_AFTER,
             ) from None
         if not isinstance(written, Versioned):
@@ -138,17 +155,17 @@
         self._configuration.take(name, written.version, written.document)
         return True
 
-    async def _chunks(self, job: str) -> dict[int, ChunkRecord]:
+    async def _read_chunks(self, job_id: str) -> dict[int, ChunkRecord]:
         try:
-            listing = await self._store.list_documents(chunk_prefix(job))
+            listing = await self._store.list_documents(chunk_prefix(job_id))
         except StoreUnavailableError:
-            raise unavailable() from None
+            raise store_unavailable() from None
         return {
             chunk_index(listed['name']): listed['body']
             for listed in listing['objects']
         }
 
-    async def _lines(
+    async def _result_lines(
         self,
         job: JobRecord,
         chunks: dict[int, ChunkRecord],
@@ -165,7 +182,7 @@
 
 
 def job_status(job: JobRecord, done: int, failed: int) -> JobStatus:
-    """Show a job in the shape of this ecosystem."""
+    """Build the API's view of a job with the given item counts."""
     return JobStatus(
         id=job['id'],
         object='batch',
@@ -182,8 +199,8 @@
     )
 
 
-def unavailable() -> RefusedError:
-    """Refuse what needs the store while it does not answer."""
+def store_unavailable() -> RefusedError:
+    """Build the refusal for a store that does not answer."""
     return refuse(
         STORE_UNAVAILABLE,
         'The store does not answer',
--- a/gentiantrestle/daemon/batch/parser.py
+++ b/gentiantrestle/daemon/batch/parser.py
@@ -1,4 +1,4 @@
-"""Read a job's lines as they come and pack them into chunks; no I/O."""
+"""Parse a job's lines as they arrive and group them into chunks; no I/O."""
 
 import hashlib
 from collections.abc import Iterator
@@ -23,17 +23,17 @@
 from gentiantrestle.models import FleetDoc
 
 MAX_ITEMS = 200000
-CHUNK_ITEMS = 256
+MAX_CHUNK_ITEMS = 256
 MIN_CHUNK_ITEMS = 16
-CHUNKS_PER_JOB = 10
-CHUNK_BYTES = 524288
-MAX_LINE = 262144  # bytes
-MAX_CUSTOM_ID = 256  # characters
-TARGETS = frozenset((COMPLETIONS, CHAT))
+TARGET_CHUNKS_PER_JOB = 10
+MAX_CHUNK_BYTES = 524288
+MAX_LINE_BYTES = 262144
+MAX_CUSTOM_ID_LENGTH = 256  # characters
+SUPPORTED_URLS = frozenset((COMPLETIONS, CHAT))
 
 
-class Summary(NamedTuple):
-    """What is known of a job once all of its lines are read."""
+class JobSummary(NamedTuple):
+    """A job's properties, known once all of its lines are parsed."""
 
     endpoint: str
     url: str
@@ -42,69 +42,82 @@
 
 
 def chunk_item_limit(body_size: int, line_size: int) -> int:
-    """Return how many items a chunk holds, from sizes in bytes.
+    """Return the maximum number of items per chunk, from sizes in bytes.
 
-    A short job is split as well, so that several instances share it.
+    A short job is split too, so that several instances can share its work.
+    ``body_size`` 0 means unknown.
     """
     if not body_size:
-        return CHUNK_ITEMS
-    expected = body_size // max(1, line_size)
-    share = -(-expected // CHUNKS_PER_JOB)
-    return min(CHUNK_ITEMS, max(MIN_CHUNK_ITEMS, share))
+        return MAX_CHUNK_ITEMS
+    expected_items = body_size // max(1, line_size)
+    items_per_chunk = -(-expected_items // TARGET_CHUNKS_PER_JOB)
+    return min(MAX_CHUNK_ITEMS, max(MIN_CHUNK_ITEMS, items_per_chunk))
 
 
-class Intake:
-    """Checks lines one by one and yields chunks as they fill."""
+class JobParser:
+    """Validates the lines of a job and groups them into chunks.
+
+    ``feed`` and ``finish`` raise ``RefusedError`` at the first invalid line.
+    """
 
     def __init__(self, fleet: FleetDoc, body_size: int) -> None:
-        """Check against a configuration; ``body_size`` 0 means unknown."""
+        """Check against ``fleet``; a ``body_size`` of 0 means unknown."""
         self._fleet = fleet
         self._body_size = body_size
-        self._limit = CHUNK_ITEMS
-        self._rest = b''
-        self._line = 0
+        self._chunk_item_limit = MAX_CHUNK_ITEMS
+        self._partial_line = b''
+        self._line_number = 0
         self._digest = hashlib.sha256()
-        self._seen: set[str] = set()
+        self._custom_ids: set[str] = set()
         self._chunk: list[ItemLine] = []
         self._chunk_bytes = 0
-        self._first: tuple[str, str] | None = None
+        self._target: tuple[str, str] | None = None
 
     def feed(self, part: bytes) -> Iterator[list[ItemLine]]:
-        """Take in a part of the body; yield the chunks that it fills."""
+        """Parse the next part of the body; yield the chunks it completes."""
         self._digest.update(part)
-        lines = (self._rest + part).split(b'\n')
-        self._rest = lines.pop()
+        lines = (self._partial_line + part).split(b'\n')
+        self._partial_line = lines.pop()
         for line in lines:
-            yield from self._take(line)
-        if len(self._rest) > MAX_LINE:
-            raise self._fault('the line is too long', self._line + 1)
+            yield from self._add_line(line)
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            raise self._line_error(
+                'the line is too long', self._line_number + 1
+            )
 
     def finish(self) -> Iterator[list[ItemLine]]:
-        """Take in the last line; yield what is left."""
-        yield from self._take(self._rest)
-        self._rest = b''
-        if not self._seen:
+        """Parse the last line; yield the remaining chunks."""
+        yield from self._add_line(self._partial_line)
+        self._partial_line = b''
+        if not self._custom_ids:
             raise refuse(BAD_REQUEST, 'The job has no items')
         if self._chunk:
             yield self._flush()
 
-    def summary(self) -> Summary:
-        """Sum the job up."""
-        endpoint, url = self._first
-        return Summary(endpoint, url, len(self._seen), self._digest.hexdigest())
+    def summary(self) -> JobSummary:
+        """Return the summary; call it only after ``finish``."""
+        endpoint, url = self._target
+        return JobSummary(
+            endpoint, url, len(self._custom_ids), self._digest.hexdigest()
+        )
 
-    def _take(self, line: bytes) -> Iterator[list[ItemLine]]:
-        self._line += 1
+    def _add_line(self, line: bytes) -> Iterator[list[ItemLine]]:
+        self._line_number += 1
         if not line.strip():
             return
-        if len(line) > MAX_LINE:
-            raise self._fault(f'the item is above {MAX_LINE} bytes', self._line)
-        full = self._chunk_bytes + len(line) > CHUNK_BYTES
-        if self._chunk and (full or len(self._chunk) >= self._limit):
+        if len(line) > MAX_LINE_BYTES:
+            raise self._line_error(
+                f'the item is larger than {MAX_LINE_BYTES} bytes',
+                self._line_number,
+            )
+        full = self._chunk_bytes + len(line) > MAX_CHUNK_BYTES
+        if self._chunk and (full or len(self._chunk) >= self._chunk_item_limit):
             yield self._flush()
-        if not self._seen:
-            self._limit = chunk_item_limit(self._body_size, len(line) + 1)
-        self._chunk.append(self._parse(line))
+        if not self._custom_ids:
+            self._chunk_item_limit = chunk_item_limit(
+                self._body_size, len(line) + 1
+            )
+        self._chunk.append(self._parse_item(line))
         self._chunk_bytes += len(line)
 
     def _flush(self) -> list[ItemLine]:
@@ -113,54 +126,68 @@
         self._chunk_bytes = 0
         return chunk
 
-    def _parse(self, line: bytes) -> ItemLine:
+    def _parse_item(self, line: bytes) -> ItemLine:
         try:
             item = msgspec.json.decode(line, type=ItemLine)
         except msgspec.DecodeError as exc:
-            raise self._fault(str(exc), self._line) from None
-        self._check_id(item['custom_id'])
+            raise self._line_error(str(exc), self._line_number) from None
+        self._check_custom_id(item['custom_id'])
         self._check_target(item)
         self._check_prompt(item['body'])
         return item
 
-    def _check_id(self, custom_id: str) -> None:
-        if not custom_id or len(custom_id) > MAX_CUSTOM_ID:
-            raise self._fault('custom_id is empty or too long', self._line)
-        if custom_id in self._seen:
-            raise self._fault(f'custom_id {custom_id!r} doubled', self._line)
-        if len(self._seen) >= MAX_ITEMS:
-            raise refuse(TOO_LARGE, f'The job has over {MAX_ITEMS} items')
-        self._seen.add(custom_id)
+    def _check_custom_id(self, custom_id: str) -> None:
+        if not custom_id or len(custom_id) > MAX_CUSTOM_ID_LENGTH:
+            raise self._line_error(
+                'custom_id is empty or too long', self._line_number
+            )
+        if custom_id in self._custom_ids:
+            raise self._line_error(
+                f'custom_id {custom_id!r} doubled', self._line_number
+            )
+        if len(self._custom_ids) >= MAX_ITEMS:
+            raise refuse(TOO_LARGE, f'The job has more than {MAX_ITEMS} items')
+        self._custom_ids.add(custom_id)
 
     def _check_target(self, item: ItemLine) -> None:
         model = item['body'].get('model')
-        if item['url'] not in TARGETS:
-            raise self._fault(
-                f'url is not one of {sorted(TARGETS)}', self._line
+        if item['url'] not in SUPPORTED_URLS:
+            raise self._line_error(
+                f'url must be one of {sorted(SUPPORTED_URLS)}',
+                self._line_number,
             )
         if model not in self._fleet['endpoints']:
             raise refuse(
                 UNKNOWN_MODEL,
-                f'Line {self._line}: no endpoint {model!r}',
+                f'Line {self._line_number}: there is no endpoint {model!r}',
+            )
+        if self._target is None:
+            self._target = (model, item['url'])
+        if self._target != (model, item['url']):
+            raise self._line_error(
+                'all items of a job must have the same model and url',
+                self._line_number,
             )
-        if self._first is None:
-            self._first = (model, item['url'])
-        if self._first != (model, item['url']):
-            raise self._fault('a job has one model and one url', self._line)
 
     def _check_prompt(self, body: dict[str, Any]) -> None:
         limit = self._fleet['endpoints'][body['model']]['max_prompt']
         try:
             prompt = prompt_text(body)
         except (AttributeError, TypeError):
-            raise self._fault('messages are not objects', self._line) from None
+            raise self._line_error(
+                'messages must be a list of objects', self._line_number
+            ) from None
         if not prompt:
-            raise self._fault('no prompt and no messages', self._line)
+            raise self._line_error(
+                'the prompt or the messages must contain text',
+                self._line_number,
+            )
         if len(prompt) > limit:
             raise refuse(
                 PROMPT_TOO_LONG,
-                f'Line {self._line}: the prompt is above {limit} characters',
+                f'Line {self._line_number}: '
+                f'the prompt is longer than {limit} characters',
             )
 
-    def _fault(self, reason: str, line: int) -> RefusedError:
+    def _line_error(self, reason: str, line: int) -> RefusedError:
         return refuse(BAD_REQUEST, f'Line {line}: {reason}')
--- a/gentiantrestle/daemon/batch/records.py
+++ b/gentiantrestle/daemon/batch/records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of jobs and chunks, and how it may change; no I/O."""
+"""Job and chunk records as stored, and their state changes; no I/O."""
 
 import hashlib
 from collections.abc import Iterable, Iterator
@@ -13,16 +13,16 @@
 HELD = 'held'
 OPEN = 'open'
 DONE = 'done'
-INDEX_WIDTH = 5
-ID_LENGTH = 32
-HEX = 16
+INDEX_WIDTH = 5  # digits
+ID_LENGTH = 32  # hex digits
+HEX_BASE = 16
 
 
 class JobRecord(TypedDict):
-    """A batch job as accepted, and how it ended.
+    """A batch job as stored; times are Unix times in seconds.
 
-    ``parts_seen`` is set by a cancel: for each chunk the number of result
-    parts that stay readable; later ones are never shown.
+    A cancel sets ``parts_seen``: for each chunk the number of result parts that
+    stay readable. Parts written later are never shown.
     """
 
     id: str
@@ -46,10 +46,11 @@
 
 
 class ChunkRecord(TypedDict):
-    """One chunk's holder, fencing number and results so far.
+    """A chunk's holder, fencing token (``epoch``) and results so far.
 
-    ``settled`` and ``started`` are sets of item positions, as bits of a
-    number in hex.
+    ``settled`` holds the positions of the items that have a result, ``started``
+    of those that may have been sent; each is a bit set written in hex.
+    ``parts`` names the result objects; ``done`` and ``failed`` count items.
     """
 
     owner: str
@@ -64,7 +65,7 @@
 
 
 class ItemLine(TypedDict):
-    """One item of a job as its caller sent it."""
+    """One item of a job, as the client sent it."""
 
     custom_id: str
     url: str
@@ -72,7 +73,7 @@
 
 
 class ResultLine(TypedDict):
-    """One item's result as its caller reads it."""
+    """One item's result, as the client reads it."""
 
     custom_id: str
     response: dict | None
@@ -80,61 +81,61 @@
 
 
 class Holder(NamedTuple):
-    """An instance in one of its lives."""
+    """An instance and its incarnation."""
 
     instance: str
     incarnation: int
 
 
-def job_id(client: str, key: str) -> str:
-    """Derive a job's id, so that a resend finds the same job."""
+def derive_job_id(client: str, key: str) -> str:
+    """Derive the job id, so that a repeated submission finds its job."""
     digest = hashlib.sha256(f'{client}\0{key}'.encode())
     short = digest.hexdigest()[:ID_LENGTH]
     return f'job-{short}'
 
 
-def job_name(job: str) -> str:
-    """Name a job's object."""
-    return JOB_PREFIX + job
+def job_name(job_id: str) -> str:
+    """Return the name of a job's object."""
+    return JOB_PREFIX + job_id
 
 
-def chunk_prefix(job: str) -> str:
-    """Name what a job's chunks have in common."""
-    return f'chunks/{job}/'
+def chunk_prefix(job_id: str) -> str:
+    """Return the common name prefix of a job's chunks."""
+    return f'chunks/{job_id}/'
 
 
-def chunk_name(job: str, index: int) -> str:
-    """Name a chunk's object."""
-    return chunk_prefix(job) + _pad(index)
+def chunk_name(job_id: str, index: int) -> str:
+    """Return the name of a chunk's object."""
+    return chunk_prefix(job_id) + _pad(index)
 
 
 def chunk_index(name: str) -> int:
-    """Read a chunk's index from its object's name."""
+    """Return a chunk's index from the name of its object."""
     return int(name.rpartition('/')[2])
 
 
 def input_name(upload: str, index: int) -> str:
-    """Name the object that holds a chunk's items."""
+    """Return the name of the object with a chunk's items."""
     return f'inputs/{upload}/{_pad(index)}'
 
 
-def part_name(job: str, index: int, part: str) -> str:
-    """Name an object that holds results."""
-    return f'parts/{job}/{_pad(index)}/{part}'
+def part_name(job_id: str, index: int, part: str) -> str:
+    """Return the name of an object with result lines."""
+    return f'parts/{job_id}/{_pad(index)}/{part}'
 
 
 def _pad(index: int) -> str:
     return str(index).zfill(INDEX_WIDTH)
 
 
-def bits_to_text(positions: Iterable[int]) -> str:
-    """Write a set of positions as a number in hex."""
+def encode_positions(positions: Iterable[int]) -> str:
+    """Encode a set of item positions as a bit set in hex."""
     return format(sum(1 << position for position in set(positions)), 'x')
 
 
-def text_to_bits(text: str) -> Iterator[int]:
-    """Read a set of positions."""
-    number = int(text or '0', base=HEX)
+def decode_positions(text: str) -> Iterator[int]:
+    """Yield the item positions of a bit set in hex, in order."""
+    number = int(text or '0', base=HEX_BASE)
     position = 0
     while number:
         if number & 1:
@@ -143,17 +144,21 @@
         position += 1
 
 
-def claim(
-    found: ChunkRecord | None,
-    me: Holder,
+def claim_chunk(
+    current: ChunkRecord | None,
+    claimant: Holder,
     *,
     holder_gone: bool,
 ) -> ChunkRecord | Refusal:
-    """Take a chunk under the next epoch, if it may be taken."""
-    if found is None:
+    """Return the record of a chunk as claimed under the next epoch.
+
+    Refuses a chunk that is done, or held by a holder that is not gone.
+    ``current`` is ``None`` if the chunk was never claimed.
+    """
+    if current is None:
         return ChunkRecord(
-            owner=me.instance,
-            incarnation=me.incarnation,
+            owner=claimant.instance,
+            incarnation=claimant.incarnation,
             epoch=1,
             state=HELD,
             parts=[],
@@ -162,51 +167,54 @@
             done=0,
             failed=0,
         )
-    if found['state'] == DONE:
+    if current['state'] == DONE:
         return Refusal(CONFLICT, 'The chunk is done')
-    if found['state'] == HELD and not holder_gone:
+    if current['state'] == HELD and not holder_gone:
         return Refusal(CONFLICT, 'The chunk is held')
     return ChunkRecord(
         **{
-            **found,
-            'owner': me.instance,
-            'incarnation': me.incarnation,
-            'epoch': found['epoch'] + 1,
+            **current,
+            'owner': claimant.instance,
+            'incarnation': claimant.incarnation,
+            'epoch': current['epoch'] + 1,
             'state': HELD,
         },
     )
 
 
-def release(found: ChunkRecord) -> ChunkRecord:
-    """Open a chunk under the next epoch; its old holder is fenced off."""
+def reopen_chunk(record: ChunkRecord) -> ChunkRecord:
+    """Return a chunk opened under the next epoch: its holder is fenced off."""
     return ChunkRecord(
-        **{**found, 'state': OPEN, 'epoch': found['epoch'] + 1},
+        **{**record, 'state': OPEN, 'epoch': record['epoch'] + 1},
     )
 
 
-def holds(found: ChunkRecord, me: Holder, epoch: int) -> bool:
-    """Tell whether a chunk is still held under an epoch."""
-    same_life = (found['owner'], found['incarnation']) == me
-    return same_life and found['epoch'] == epoch
+def is_held_by(record: ChunkRecord, holder: Holder, epoch: int) -> bool:
+    """Tell whether a record names this holder and this epoch."""
+    same_incarnation = (record['owner'], record['incarnation']) == holder
+    return same_incarnation and record['epoch'] == epoch
 
 
 def finish_job(
     job: JobRecord,
     chunks: Iterable[ChunkRecord],
-    wall: float,
+    wall_time: float,
     finisher: str,
 ) -> JobRecord | None:
-    """Complete a running job once all of its chunks are done."""
-    done = [chunk for chunk in chunks if chunk['state'] == DONE]
-    if job['state'] != RUNNING or len(done) < job['chunks']:
+    """Return a running job as completed, or ``None`` if it can't be yet.
+
+    All of its chunks must be done. ``wall_time`` is a Unix time in seconds.
+    """
+    done_chunks = [chunk for chunk in chunks if chunk['state'] == DONE]
+    if job['state'] != RUNNING or len(done_chunks) < job['chunks']:
         return None
     return JobRecord(
         **{
             **job,
             'state': COMPLETED,
-            'done': sum(chunk['done'] for chunk in done),
-            'failed': sum(chunk['failed'] for chunk in done),
-            'finished': wall,
+            'done': sum(chunk['done'] for chunk in done_chunks),
+            'failed': sum(chunk['failed'] for chunk in done_chunks),
+            'finished': wall_time,
             'finisher': finisher,
         },
     )
@@ -215,9 +223,13 @@
 def cancel_job(
     job: JobRecord | None,
     chunks: dict[int, ChunkRecord],
-    wall: float,
+    wall_time: float,
 ) -> JobRecord | Refusal:
-    """Cancel a running job; what its chunks hold by now stays readable."""
+    """Return a running job as cancelled, or why it can't be.
+
+    The results saved in ``chunks`` stay readable. A job that is already
+    cancelled is returned as it is. ``wall_time`` is a Unix time in seconds.
+    """
     if job is None:
         return Refusal(NOT_FOUND, 'There is no such job')
     if job['state'] == CANCELLED:
@@ -230,7 +242,7 @@
             'state': CANCELLED,
             'done': sum(chunk['done'] for chunk in chunks.values()),
             'failed': sum(chunk['failed'] for chunk in chunks.values()),
-            'finished': wall,
+            'finished': wall_time,
             'parts_seen': [
                 len(chunks[index]['parts']) if index in chunks else 0
                 for index in range(job['chunks'])
@@ -240,7 +252,7 @@
 
 
 def readable_parts(job: JobRecord, index: int, chunk: ChunkRecord) -> list[str]:
-    """Return the parts of a chunk that readers may see, in order."""
+    """Return the readable result parts of a chunk, in order."""
     seen = job.get('parts_seen')
     if seen is None:
         return chunk['parts']
--- a/gentiantrestle/daemon/batch/schedule.py
+++ b/gentiantrestle/daemon/batch/schedule.py
@@ -1,4 +1,4 @@
-"""Which chunk an instance works on next; decisions only, no I/O."""
+"""Choose the next chunk to claim, from cached records; no I/O."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import NamedTuple
@@ -14,121 +14,132 @@
 
 
 class ChunkKey(NamedTuple):
-    """A chunk of a job."""
+    """A chunk's job and its index in the job."""
 
-    job: str
+    job_id: str
     index: int
 
 
-class Seen(NamedTuple):
-    """A chunk's record, and when this version was first seen, in s."""
+class CachedChunk(NamedTuple):
+    """A record; ``since`` is when this version was cached, in local s."""
 
     version: int
     record: ChunkRecord
     since: float
 
 
-class ChunkBook:
-    """What one instance knows of the chunks of running jobs."""
+class ChunkCache:
+    """The latest known records of the chunks of running jobs."""
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
-        self._seen: dict[ChunkKey, Seen] = {}
+        """Start empty."""
+        self._chunks: dict[ChunkKey, CachedChunk] = {}
 
-    def note(
+    def update(
         self,
         key: ChunkKey,
         version: int,
         record: ChunkRecord,
         now: float,
     ) -> None:
-        """Note a record that was read or written."""
-        known = self._seen.get(key)
+        """Cache a record that was read or written, unless it is stale."""
+        known = self._chunks.get(key)
         if known is None or known.version < version:
-            self._seen[key] = Seen(version, record, now)
+            self._chunks[key] = CachedChunk(version, record, now)
 
-    def find(self, key: ChunkKey) -> Seen | None:
-        """Return what is known of a chunk."""
-        return self._seen.get(key)
+    def find(self, key: ChunkKey) -> CachedChunk | None:
+        """Return the cached record of a chunk, or ``None``."""
+        return self._chunks.get(key)
 
-    def forget(self, jobs: Iterable[str]) -> None:
-        """Drop the chunks of jobs that have ended."""
-        ended = set(jobs)
-        for key in tuple(self._seen):
-            if key.job in ended:
-                self._seen.pop(key)
+    def forget_jobs(self, job_ids: Iterable[str]) -> None:
+        """Drop all chunks of the given jobs."""
+        ended = set(job_ids)
+        for key in tuple(self._chunks):
+            if key.job_id in ended:
+                self._chunks.pop(key)
 
     def is_done(self, key: ChunkKey) -> bool:
-        """Tell whether a chunk is known to be done."""
-        seen = self._seen.get(key)
-        return seen is not None and seen.record['state'] == DONE
+        """Tell whether the cached record of a chunk is done."""
+        cached = self._chunks.get(key)
+        return cached is not None and cached.record['state'] == DONE
 
 
-class Lease(NamedTuple):
-    """A holder's lease as read, and since when it is unchanged, in s."""
+class ObservedLease(NamedTuple):
+    """A lease; ``since`` is when this version was first read, in local s."""
 
     version: int
     since: float
 
 
-class LeaseBook:
-    """Judges holders by their leases, on the local clock only."""
+class LeaseTracker:
+    """Detects expired leases of instances.
 
-    def __init__(self, term: float) -> None:
-        """A lease unchanged for ``term`` s has lapsed."""
-        self._term = term
-        self._leases: dict[str, Lease] = {}
+    Only the local clock is used: a lease has expired if its version stayed
+    the same for ``duration`` seconds.
+    """
 
-    def note(self, instance: str, version: int, now: float) -> None:
-        """Note the version that an instance's lease was read at."""
+    def __init__(self, duration: float) -> None:
+        """Start with no lease read; ``duration`` is in seconds."""
+        self._duration = duration
+        self._leases: dict[str, ObservedLease] = {}
+
+    def observe(self, instance: str, version: int, now: float) -> None:
+        """Record the version at which an instance's lease was read."""
         known = self._leases.get(instance)
         if known is None or known.version != version:
-            self._leases[instance] = Lease(version, now)
+            self._leases[instance] = ObservedLease(version, now)
 
-    def has_lapsed(self, instance: str, now: float) -> bool:
-        """Tell whether an instance's lease was unchanged for a term."""
+    def has_expired(self, instance: str, now: float) -> bool:
+        """Tell whether an instance's lease has expired at ``now``."""
         known = self._leases.get(instance)
-        return known is not None and now - known.since >= self._term
+        return known is not None and now - known.since >= self._duration
 
 
 def order_jobs(jobs: Iterable[JobRecord]) -> list[JobRecord]:
-    """Order running jobs by deadline; the earliest goes first."""
+    """Return the running jobs, the earliest deadline first."""
     running = [job for job in jobs if job['state'] == RUNNING]
     return sorted(running, key=lambda job: (job['deadline'], job['id']))
 
 
-def open_chunks(job: JobRecord, book: ChunkBook) -> Iterator[ChunkKey]:
-    """Yield the chunks of a job that aren't known to be done or held."""
+def open_chunks(job: JobRecord, cache: ChunkCache) -> Iterator[ChunkKey]:
+    """Yield the chunks of a job that are not known to be done or held."""
     for index in range(job['chunks']):
         key = ChunkKey(job['id'], index)
-        seen = book.find(key)
-        if seen is None or seen.record['state'] not in {DONE, HELD}:
+        cached = cache.find(key)
+        if cached is None or cached.record['state'] not in {DONE, HELD}:
             yield key
 
 
-def next_own(
+def next_assigned_chunk(
     jobs: Iterable[JobRecord],
-    book: ChunkBook,
-    me: str,
+    cache: ChunkCache,
+    instance: str,
     workers: Callable[[JobRecord], list[str]],
 ) -> ChunkKey | None:
-    """Return the most urgent open chunk that falls to this instance."""
+    """Return the first open chunk that is assigned to this instance.
+
+    Jobs with an earlier deadline go first. ``workers`` returns the instances
+    among which rendezvous hashing assigns the chunks of a job.
+    """
     for job in order_jobs(jobs):
-        names = workers(job)
-        for key in open_chunks(job, book):
-            if owner(f'{key.job}/{key.index}', names) == me:
+        owners = workers(job)
+        for key in open_chunks(job, cache):
+            if owner(f'{key.job_id}/{key.index}', owners) == instance:
                 return key
     return None
 
 
-def next_any(
+def random_open_chunk(
     jobs: Iterable[JobRecord],
-    book: ChunkBook,
+    cache: ChunkCache,
     draw: float,
 ) -> ChunkKey | None:
-    """Return an open chunk of the most urgent job that has one left."""
+    """Return a random open chunk of the earliest job that has one.
+
+    ``draw`` is a random number from 0 to below 1.
+    """
     for job in order_jobs(jobs):
-        left = list(open_chunks(job, book))
+        left = list(open_chunks(job, cache))
         if left:
             return left[int(draw * len(left))]
     return None
--- a/tests/decisions/test_chunks.py
+++ b/tests/decisions/test_chunks.py
@@ -1,8 +1,8 @@
-"""Chunks under interleavings: pauses, races, lost answers, duplicates.
+"""Chunk claims and saves under pauses, races, lost answers and duplicates.
 
-Holders act in any order on one stored record with conditional writes. The
-invariants are the promises: each item has exactly one result, and what was
-started once is not started again when it may not be repeated.
+Several holders act in any order on one stored record with conditional
+writes. The invariants: each item has at most one result, and an item that
+was started is never started again, as for a job that is not repeatable.
 """
 
 from collections import Counter
@@ -26,13 +26,13 @@
     ChunkRecord,
     Holder,
     JobRecord,
-    bits_to_text,
     cancel_job,
-    claim,
+    claim_chunk,
+    decode_positions,
+    encode_positions,
     finish_job,
     readable_parts,
-    release,
-    text_to_bits,
+    reopen_chunk,
 )
 from gentiantrestle.errors import Refusal
 
@@ -42,14 +42,14 @@
 
 
 class Store:
-    """One record with a version; a write needs the version it was read at."""
+    """One record; a write must name the version it was read at."""
 
     def __init__(self) -> None:
         self.record: ChunkRecord | None = None
         self.version = 0
 
     def write(self, record: ChunkRecord, expected: int) -> bool:
-        """Write if nobody else did since."""
+        """Write if the record was not written since."""
         if expected != self.version:
             return False
         self.record = record
@@ -58,7 +58,7 @@
 
 
 class Worker:
-    """A holder's memory: what it believes that it holds."""
+    """A holder's view of the chunk: what it believes it holds."""
 
     def __init__(self) -> None:
         self.record: ChunkRecord | None = None
@@ -76,30 +76,30 @@
         self.sent: Counter[int] = Counter()
         self.workers = {holder: Worker() for holder in HOLDERS}
 
-    @rule(me=holders, gone=st.booleans())
-    def claim_chunk(self, me: Holder, gone: bool) -> None:
-        wanted = claim(self.store.record, me, holder_gone=gone)
+    @rule(holder=holders, gone=st.booleans())
+    def claim(self, holder: Holder, gone: bool) -> None:
+        wanted = claim_chunk(self.store.record, holder, holder_gone=gone)
         if isinstance(wanted, Refusal):
             return
         version = self.store.version
         assert self.store.write(wanted, version)
-        worker = self.workers[me]
+        worker = self.workers[holder]
         worker.record, worker.version = wanted, self.store.version
         worker.unsaved = set()
 
-    @rule(me=holders, position=st.integers(0, ITEMS - 1))
-    def run_item(self, me: Holder, position: int) -> None:
+    @rule(holder=holders, position=st.integers(0, ITEMS - 1))
+    def run_item(self, holder: Holder, position: int) -> None:
         """Mark an item as started in the store, then send it once."""
-        worker = self.workers[me]
+        worker = self.workers[holder]
         if worker.record is None or worker.record['state'] != HELD:
             return
-        started = set(text_to_bits(worker.record['started']))
+        started = set(decode_positions(worker.record['started']))
         if position in started:
             return
         marked = ChunkRecord(
             **{
                 **worker.record,
-                'started': bits_to_text({*started, position}),
+                'started': encode_positions({*started, position}),
             },
         )
         if not self._write(worker, marked):
@@ -107,31 +107,31 @@
         self.sent[position] += 1
         worker.unsaved.add(position)
 
-    @rule(me=holders, lost=st.booleans())
-    def save(self, me: Holder, lost: bool) -> None:
-        """Write a part, then the record; the answer may be lost."""
-        worker = self.workers[me]
+    @rule(holder=holders, answer_lost=st.booleans())
+    def save(self, holder: Holder, answer_lost: bool) -> None:
+        """Write a part, then the record; the answer may get lost."""
+        worker = self.workers[holder]
         if worker.record is None or not worker.unsaved:
             return
         part = f'{worker.record["epoch"]}-{len(self.parts)}'
         self.parts[part] = sorted(worker.unsaved)
-        settled = set(text_to_bits(worker.record['settled']))
+        settled = set(decode_positions(worker.record['settled']))
         wanted = ChunkRecord(
             **{
                 **worker.record,
                 'parts': [*worker.record['parts'], part],
-                'settled': bits_to_text(settled | worker.unsaved),
+                'settled': encode_positions(settled | worker.unsaved),
                 'done': worker.record['done'] + len(worker.unsaved),
             },
         )
         if self._write(worker, wanted):
             worker.unsaved = set()
-            if lost:
+            if answer_lost:
                 self._write(worker, wanted)
 
-    @rule(me=holders)
-    def hand_over(self, me: Holder) -> None:
-        worker = self.workers[me]
+    @rule(holder=holders)
+    def hand_over(self, holder: Holder) -> None:
+        worker = self.workers[holder]
         if worker.record is None or worker.unsaved:
             return
         opened = ChunkRecord(**{**worker.record, 'state': OPEN})
@@ -139,25 +139,29 @@
             worker.record = None
 
     @rule()
-    def fence_off(self) -> None:
-        """A watcher, right or wrong, calls the holder gone."""
+    def reopen(self) -> None:
+        """Reopen a held chunk, whether or not its holder is gone."""
         if self.store.record is not None and self.store.record['state'] == HELD:
-            self.store.write(release(self.store.record), self.store.version)
+            self.store.write(
+                reopen_chunk(self.store.record), self.store.version
+            )
 
     @invariant()
     def each_item_has_at_most_one_result(self) -> None:
         if self.store.record is None:
             return
-        shown = Counter(
+        result_counts = Counter(
             position
             for part in self.store.record['parts']
             for position in self.parts[part]
         )
-        assert not shown or max(shown.values()) == 1
-        assert set(shown) == set(text_to_bits(self.store.record['settled']))
+        assert not result_counts or max(result_counts.values()) == 1
+        assert set(result_counts) == set(
+            decode_positions(self.store.record['settled'])
+        )
 
     @invariant()
-    def nothing_is_sent_twice(self) -> None:
+    def no_item_is_sent_twice(self) -> None:
         assert not self.sent or max(self.sent.values()) == 1
 
     def _write(self, worker: Worker, record: ChunkRecord) -> bool:
@@ -224,7 +228,7 @@
     assert (finished['state'], finished['done']) == ('completed', 3)
 
 
-def test_no_result_shows_that_came_after_a_cancel() -> None:
+def test_results_saved_after_cancel_are_not_readable() -> None:
     cancelled = cancel_job(_job(), {1: _chunk(HELD, 2)}, 5)
     assert cancelled['parts_seen'] == [0, 2]
     late = _chunk(DONE, 3)
@@ -236,11 +240,13 @@
     ('job', 'kind'),
     [(None, 'not_found'), (_job(state='completed'), 'conflict')],
 )
-def test_cancel_refuses(job: JobRecord | None, kind: str) -> None:
+def test_cancel_of_unknown_or_completed_job_is_refused(
+    job: JobRecord | None, kind: str
+) -> None:
     assert cancel_job(job, {}, 5).kind.name == kind
 
 
 def test_cancel_is_idempotent() -> None:
-    once = cancel_job(_job(), {}, 5)
-    assert cancel_job(once, {0: _chunk(DONE, 9)}, 8) == once
-    assert once['state'] == CANCELLED
+    cancelled = cancel_job(_job(), {}, 5)
+    assert cancel_job(cancelled, {0: _chunk(DONE, 9)}, 8) == cancelled
+    assert cancelled['state'] == CANCELLED
