--- a/tests/processes/test_batch.py
+++ b/tests/processes/test_batch.py
@@ -1,4 +1,4 @@
-"""Batch jobs: each item exactly once, whatever fails."""
+"""Batch jobs on real processes: one result per item under any failure."""
 
 import asyncio
 import signal
@@ -8,18 +8,18 @@
 from tests.utils.http import until
 
 ITEMS = 60
-LONG = 40
+TOKENS = 40  # per item
 SLOW_STEP = ('step=0.02',)
 
 
-async def _assert_each_once(fleet: Fleet, job: str, count: int) -> None:
+async def _assert_one_result_each(fleet: Fleet, job: str, count: int) -> None:
     lines = await fleet.results(0, job)
-    seen = Counter(line['custom_id'] for line in lines)
-    assert seen == Counter(f'c{index}' for index in range(count))
+    result_counts = Counter(line['custom_id'] for line in lines)
+    assert result_counts == Counter(f'c{index}' for index in range(count))
 
 
-def _holder(fleet: Fleet) -> int | None:
-    """Find a daemon whose log says that it holds a chunk."""
+def _find_holder(fleet: Fleet) -> int | None:
+    """Return the index of a daemon that logged the claim of a chunk."""
     for index, daemon in enumerate(fleet.daemons):
         if b'claimed' in daemon.log.read_bytes():
             return index
@@ -27,8 +27,8 @@
 
 
 async def _wait_for_holder(fleet: Fleet) -> int:
-    await until(lambda: _holder(fleet) is not None)
-    return _holder(fleet)
+    await until(lambda: _find_holder(fleet) is not None)
+    return _find_holder(fleet)
 
 
 async def test_job_completes_with_each_item_once(start_fleet) -> None:
@@ -42,12 +42,12 @@
         'completed': ITEMS,
         'failed': 0,
     }
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_killed_holder_is_replaced(start_fleet) -> None:
+async def test_job_completes_after_holder_is_killed(start_fleet) -> None:
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
@@ -55,44 +55,50 @@
     assert status['request_counts']['completed'] == ITEMS
     await fleet.start_daemon(holder)
     await until(lambda: fleet.is_ready(0))
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_frozen_holder_drops_its_work(start_fleet) -> None:
+async def test_paused_holder_adds_no_results_after_takeover(
+    start_fleet,
+) -> None:
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
-    frozen = fleet.daemons[holder]
-    frozen.send_signal(signal.SIGSTOP)
+    paused = fleet.daemons[holder]
+    paused.send_signal(signal.SIGSTOP)
     reader = (holder + 1) % 3
     status = await fleet.wait_for_end(reader, job)
-    frozen.send_signal(signal.SIGCONT)
+    paused.send_signal(signal.SIGCONT)
     await until(lambda: fleet.is_ready(holder))
     assert status['request_counts']['completed'] == ITEMS
-    await until(lambda: b'is completed' in frozen.log.read_bytes())
-    await _assert_each_once(fleet, job, ITEMS)
+    await until(lambda: b'is completed' in paused.log.read_bytes())
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_woken_holder_is_fenced_off(start_fleet) -> None:
-    """A holder wakes with unsaved results while another one goes on."""
+async def test_resumed_holder_with_unsaved_results_is_fenced_off(
+    start_fleet,
+) -> None:
+    """The holder resumes with unsaved results after a takeover."""
     fleet = await start_fleet(engine_words=('step=0.03',))
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
-    frozen = fleet.daemons[holder]
+    paused = fleet.daemons[holder]
     await until(lambda: fleet.engine_runs())
-    frozen.send_signal(signal.SIGSTOP)
-    others = [one for one in fleet.daemons if one is not frozen]
+    paused.send_signal(signal.SIGSTOP)
+    others = [daemon for daemon in fleet.daemons if daemon is not paused]
     await until(
-        lambda: any(b'epoch 3' in one.log.read_bytes() for one in others),
+        lambda: any(b'epoch 3' in daemon.log.read_bytes() for daemon in others),
     )
-    frozen.send_signal(signal.SIGCONT)
-    await until(lambda: b'lost to another' in frozen.log.read_bytes())
+    paused.send_signal(signal.SIGCONT)
+    await until(lambda: b'lost to another' in paused.log.read_bytes())
     await fleet.wait_for_end((holder + 1) % 3, job)
     await until(lambda: fleet.is_ready(0))
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_resend_after_loss_finds_the_accepted_job(start_fleet) -> None:
+async def test_resubmission_after_kill_returns_the_accepted_job(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     lines = job_lines(ITEMS)
     first = await fleet.submit(0, lines, 'job')
@@ -104,7 +110,9 @@
     assert len(listed) == 1
 
 
-async def test_acknowledged_job_survives_loss(start_fleet) -> None:
+async def test_accepted_job_completes_after_instance_is_killed(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     job = (await fleet.submit(0, job_lines(ITEMS), 'job')).json()['id']
     await fleet.daemons[0].end()
@@ -112,7 +120,7 @@
     assert status['request_counts']['completed'] == ITEMS
 
 
-async def test_outage_during_acceptance_accepts_nothing(start_fleet) -> None:
+async def test_submission_during_store_outage_is_refused(start_fleet) -> None:
     fleet = await start_fleet()
     await fleet.fault(outage=True)
     refused = await fleet.submit(0, job_lines(ITEMS), 'job')
@@ -125,7 +133,7 @@
     assert status['request_counts']['completed'] == ITEMS
 
 
-async def test_lost_answers_do_not_double_items(start_fleet) -> None:
+async def test_lost_store_answers_do_not_duplicate_results(start_fleet) -> None:
     fleet = await start_fleet()
     await fleet.fault(lose=2)
     accepted = await fleet.submit(0, job_lines(ITEMS), 'job')
@@ -133,24 +141,24 @@
     await fleet.fault(lose=3)
     job = accepted.json()['id']
     await fleet.wait_for_end(0, job)
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_outage_while_running_holds_results(start_fleet) -> None:
+async def test_results_are_saved_after_store_outage(start_fleet) -> None:
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
-    await until(lambda: _holder(fleet) is not None)
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
+    await until(lambda: _find_holder(fleet) is not None)
     await fleet.fault(outage=True)
-    log = fleet.daemons[_holder(fleet)].log
+    log = fleet.daemons[_find_holder(fleet)].log
     await until(lambda: b'results of' in log.read_bytes())
     await fleet.fault(outage=False)
     status = await fleet.wait_for_end(0, job)
     assert status['request_counts']['completed'] == ITEMS
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
     assert set((await fleet.engine_runs()).values()) == {1}
 
 
-async def test_never_doable_items_do_not_hold_the_job(start_fleet) -> None:
+async def test_items_that_always_fail_do_not_block_the_job(start_fleet) -> None:
     fleet = await start_fleet()
     poisoned = job_lines(3, prefix='poison')
     lines = job_lines(20) + poisoned.replace(b'_id":"c', b'_id":"bad')
@@ -174,7 +182,7 @@
 
 async def test_cancel_stops_calls_and_adds_no_result(start_fleet) -> None:
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     await until(lambda: fleet.engine_runs())
     cancelled = await fleet.call(1, 'POST', f'/v1/batches/{job}/cancel')
     assert cancelled.json()['status'] == 'cancelled'
@@ -202,19 +210,19 @@
     assert refused.json()['error']['type'] == 'conflict'
 
 
-async def _owner_of_started(fleet: Fleet, job: str) -> str | None:
-    """Name the holder of a chunk of which items are marked as started."""
+async def _owner_of_started_chunk(fleet: Fleet, job: str) -> str | None:
+    """Return the holder of a chunk with started items and no result."""
     for record in (await fleet.chunks(job)).values():
         if record['started'] != '0' and record['settled'] == '0':
             return record['owner']
     return None
 
 
-async def test_items_not_to_be_repeated_run_once(start_fleet) -> None:
+async def test_unrepeatable_items_run_at_most_once(start_fleet) -> None:
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    lines = job_lines(40, LONG, endpoint='once')
+    lines = job_lines(40, TOKENS, endpoint='once')
     job = (await fleet.submit(0, lines, 'job')).json()['id']
-    owner = await until(lambda: _owner_of_started(fleet, job))
+    owner = await until(lambda: _owner_of_started_chunk(fleet, job))
     holder = int(owner.removeprefix('i'))
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
@@ -226,10 +234,10 @@
     assert max(runs.values()) == 1
 
 
-async def test_kill_with_lost_answers(start_fleet) -> None:
-    """Two faults at once: a holder dies while answers get lost."""
+async def test_holder_killed_while_store_answers_are_lost(start_fleet) -> None:
+    """Two faults at once: the holder is killed and answers are lost."""
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
     await fleet.fault(lose=4)
     await fleet.daemons[holder].end()
@@ -237,13 +245,13 @@
     await fleet.wait_for_end(reader, job)
     await fleet.start_daemon(holder)
     await until(lambda: fleet.is_ready(0))
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_kill_during_an_outage(start_fleet) -> None:
-    """Two faults at once: a holder dies while the store is down."""
+async def test_holder_killed_during_store_outage(start_fleet) -> None:
+    """Two faults at once: the holder is killed and the store is down."""
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
     await fleet.fault(outage=True)
     await fleet.daemons[holder].end()
@@ -251,19 +259,19 @@
     await until(lambda: fleet.is_ready(holder))
     await fleet.fault(outage=False)
     await fleet.wait_for_end(holder, job)
-    await _assert_each_once(fleet, job, ITEMS)
+    await _assert_one_result_each(fleet, job, ITEMS)
 
 
-async def test_cancel_while_a_holder_is_frozen(start_fleet) -> None:
-    """Two faults at once: a holder is paused while its job is cancelled."""
+async def test_job_cancelled_while_holder_is_paused(start_fleet) -> None:
+    """Two faults at once: the holder is paused as its job is cancelled."""
     fleet = await start_fleet(engine_words=SLOW_STEP)
-    job = (await fleet.submit(0, job_lines(ITEMS, LONG), 'job')).json()['id']
+    job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
-    frozen = fleet.daemons[holder]
-    frozen.send_signal(signal.SIGSTOP)
+    paused = fleet.daemons[holder]
+    paused.send_signal(signal.SIGSTOP)
     other = (holder + 1) % 3
     await fleet.call(other, 'POST', f'/v1/batches/{job}/cancel')
     before = await fleet.results(other, job)
-    frozen.send_signal(signal.SIGCONT)
-    await until(lambda: b'is cancelled' in frozen.log.read_bytes())
+    paused.send_signal(signal.SIGCONT)
+    await until(lambda: b'is cancelled' in paused.log.read_bytes())
     assert await fleet.results(other, job) == before
