--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -185,7 +185,9 @@
             await upload.discard()
         return self._existing_job(existing, record['digest'])
 
-    def _existing_job(self, existing: VersionedDocument, digest: str) -> JobRecord:
+    def _existing_job(
+        self, existing: VersionedDocument, digest: str
+    ) -> JobRecord:
         if existing.document['digest'] != digest:
             raise refuse(
                 KEY_REUSED,
@@ -193,7 +195,9 @@
                 'This Idempotency-Key was already used for another job',
             )
         name = job_name(existing.document['id'])
-        self._configuration.update_mirror(name, existing.version, existing.document)
+        self._configuration.update_mirror(
+            name, existing.version, existing.document
+        )
         return existing.document
 
     def _new_record(
--- a/gentiantrestle/daemon/batch/item_run.py
+++ b/gentiantrestle/daemon/batch/item_run.py
@@ -173,7 +173,9 @@
             async for part in parts:
                 self._tokens.extend(self._reader.feed(part))
 
-    async def _read_error(self, slot: Slot, answer: ClientResponse) -> AttemptResult:
+    async def _read_error(
+        self, slot: Slot, answer: ClientResponse
+    ) -> AttemptResult:
         incarnation = leaving_incarnation(answer)
         text = (await answer.read())[:MAX_REASON_BYTES].decode(errors='replace')
         if incarnation is not None:
