--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -17,7 +17,7 @@
     build,
     drive,
 )
-from gentiantrestle.http.client import Pool
+from gentiantrestle.http.client import ConnectionPool
 from tests.utils.fleet import CLIENT_KEY, Fleet
 
 ROUNDS = 600
@@ -42,8 +42,8 @@
     direct = HdrHistogram(1, LONGEST, DIGITS)
     through = HdrHistogram(1, LONGEST, DIGITS)
     shape = Shape('one', 16, 1)
-    engine = Pool(fleet.engines[0], 4, 5)
-    daemon = Pool(fleet.http[0], 4, 5)
+    engine = ConnectionPool(fleet.engines[0], 4, 5)
+    daemon = ConnectionPool(fleet.http[0], 4, 5)
     for turn in range(ROUNDS):
         call = build(Arrival(0, shape, 0, f'hop {turn}'))
         await _time(engine, call, direct)
@@ -59,7 +59,9 @@
     return lines
 
 
-async def _time(pool: Pool, call: object, histogram: HdrHistogram) -> None:
+async def _time(
+    pool: ConnectionPool, call: object, histogram: HdrHistogram
+) -> None:
     began = time.monotonic()
     await pool.fetch(call)
     histogram.record_value(int((time.monotonic() - began) * MICROSECONDS))
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -11,9 +11,9 @@
 from hdrh.histogram import HdrHistogram
 
 from gentiantrestle.http.client import (
-    Call,
     ClientConnection,
-    LostError,
+    ClientRequest,
+    ConnectionLostError,
     NotSentError,
 )
 from gentiantrestle.models import Address
@@ -114,7 +114,7 @@
         conn = await ClientConnection.open(address, CONNECT_TIMEOUT)
         try:
             await _converse(conn, address, arrival, timings, began)
-        except LostError:
+        except ConnectionLostError:
             timings.broken += 1
         finally:
             conn.close()
@@ -136,7 +136,7 @@
         return
     first = None
     tail = b''
-    async for part in conn.chunks():
+    async for part in conn.iter_body():
         first = first or time.monotonic()
         tail = (tail + part)[-32:]
     if DONE not in tail:
@@ -149,7 +149,7 @@
     )
 
 
-def build(arrival: Arrival) -> Call:
+def build(arrival: Arrival) -> ClientRequest:
     """Write the call of an arrival."""
     body = msgspec.json.encode(
         {
@@ -163,4 +163,4 @@
         ('Authorization', f'Bearer {arrival.shape.client}'),
         ('Content-Type', 'application/json'),
     )
-    return Call('POST', '/v1/completions', headers, body)
+    return ClientRequest('POST', '/v1/completions', headers, body)
--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -30,9 +30,9 @@
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 RETRY_AFTER = 2  # seconds
@@ -67,7 +67,7 @@
 
     async def discard(self) -> None:
         """Delete what was stored; no job refers to it."""
-        with suppress(StoreUnavailableError, StoreUnsureError):
+        with suppress(StoreUnavailableError, StoreOutcomeUnknownError):
             for index in range(self.count):
                 await self._store.delete(input_name(self.name, index))
 
@@ -107,7 +107,7 @@
         upload = Upload(self._store)
         try:
             summary = await self._upload(upload, submission)
-        except (StoreUnavailableError, StoreUnsureError):
+        except (StoreUnavailableError, StoreOutcomeUnknownError):
             raise _unavailable() from None
         except RefusedError:
             await upload.discard()
@@ -137,7 +137,7 @@
             return await self._create(record, upload)
         except StoreUnavailableError:
             raise _unavailable() from None
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             raise refuse(
                 STORE_UNSURE,
                 'The store did not say whether the job was accepted',
@@ -160,7 +160,7 @@
     async def _create(self, record: JobRecord, upload: Upload) -> JobRecord:
         name = job_name(record['id'])
         written = await self._store.put(name, dict(record), ABSENT)
-        if isinstance(written, Versioned):
+        if isinstance(written, VersionedDocument):
             self._configuration.take(name, written.version, written.document)
             events.emit(
                 events.JOB_ACCEPTED,
@@ -175,7 +175,7 @@
             await upload.discard()
         return self._same(found, record['digest'])
 
-    def _same(self, found: Versioned, digest: str) -> JobRecord:
+    def _same(self, found: VersionedDocument, digest: str) -> JobRecord:
         if found.document['digest'] != digest:
             raise refuse(
                 KEY_REUSED,
--- a/gentiantrestle/daemon/batch/client_jobs.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -30,9 +30,9 @@
 )
 from gentiantrestle.store.client import (
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 RETRY_AFTER = 2  # seconds
@@ -127,13 +127,13 @@
             written = await self._store.put(name, dict(job), version)
         except StoreUnavailableError:
             raise unavailable() from None
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             raise refuse(
                 STORE_UNSURE,
                 'The store did not say whether the job was cancelled',
                 RETRY_AFTER,
             ) from None
-        if not isinstance(written, Versioned):
+        if not isinstance(written, VersionedDocument):
             return False
         self._configuration.take(name, written.version, written.document)
         return True
--- a/gentiantrestle/daemon/batch/item.py
+++ b/gentiantrestle/daemon/batch/item.py
@@ -26,7 +26,11 @@
 from gentiantrestle.errors import (
     Refusal,
 )
-from gentiantrestle.http.client import Answer, LostError, NotSentError
+from gentiantrestle.http.client import (
+    ClientResponse,
+    ConnectionLostError,
+    NotSentError,
+)
 from gentiantrestle.http.messages import error_document
 from gentiantrestle.models import DeploymentDoc
 from gentiantrestle.store.client import (
@@ -99,7 +103,7 @@
         except NotSentError as exc:
             self._note_failure(slot, exc)
             return Ended(Outcome.NOT_SENT, str(exc))
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             self._note_failure(slot, exc)
             return Ended(Outcome.LOST, repr(exc))
 
@@ -147,18 +151,18 @@
         finally:
             pool.release(answer)
         if not self._reader.is_complete:
-            raise LostError('the stream ended early')
+            raise ConnectionLostError('the stream ended early')
         slot.upstream.health.record_success()
         return Ended(Outcome.WHOLE)
 
-    async def _read(self, answer: Answer) -> None:
+    async def _read(self, answer: ClientResponse) -> None:
         self._reader = TokenStreamReader()
         stall = self._tools.ctx.cfg.stall_timeout
-        async with aclosing(answer.parts(stall)) as parts:
+        async with aclosing(answer.iter_body(stall)) as parts:
             async for part in parts:
                 self._texts.extend(self._reader.feed(part))
 
-    async def _refused(self, slot: Slot, answer: Answer) -> Ended:
+    async def _refused(self, slot: Slot, answer: ClientResponse) -> Ended:
         mark = leaving_incarnation(answer)
         text = (await answer.read())[:MAX_REASON].decode(errors='replace')
         if mark is not None:
--- a/gentiantrestle/daemon/batch/run.py
+++ b/gentiantrestle/daemon/batch/run.py
@@ -35,9 +35,9 @@
 )
 from gentiantrestle.store.client import (
     ABSENT,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 MAX_ATTEMPTS = 3
@@ -212,7 +212,7 @@
             name = part_name(self._held.job['id'], self._held.index, part)
             try:
                 await self._tools.store.put(name, {'lines': lines}, ABSENT)
-            except (StoreUnavailableError, StoreUnsureError):
+            except (StoreUnavailableError, StoreOutcomeUnknownError):
                 await self._wait_for_store()
             else:
                 return part
@@ -227,10 +227,10 @@
                     wanted,
                     self._version,
                 )
-            except (StoreUnavailableError, StoreUnsureError):
+            except (StoreUnavailableError, StoreOutcomeUnknownError):
                 await self._wait_for_store()
                 continue
-            if isinstance(written, Versioned):
+            if isinstance(written, VersionedDocument):
                 self._accept(written)
                 return
             if await self._was_written(wanted):
@@ -258,7 +258,7 @@
             self._accept(found)
         return same
 
-    def _accept(self, written: Versioned) -> None:
+    def _accept(self, written: VersionedDocument) -> None:
         fields = ChunkRecord.__annotations__
         self._version = written.version
         self._record = ChunkRecord(
--- a/gentiantrestle/daemon/batch/service.py
+++ b/gentiantrestle/daemon/batch/service.py
@@ -41,9 +41,9 @@
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 TICK = 0.05  # seconds
@@ -179,10 +179,10 @@
         expected = known.version if known else ABSENT
         try:
             written = await self._store.put(name, dict(wanted), expected)
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             self._unsure.add(key)
             raise
-        if isinstance(written, Versioned):
+        if isinstance(written, VersionedDocument):
             self._start(key, written.version, wanted)
             return
         current = await self._store.get(name)
--- a/gentiantrestle/daemon/batch/watch.py
+++ b/gentiantrestle/daemon/batch/watch.py
@@ -27,14 +27,14 @@
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 SURVEY_PERIOD = 1.0  # seconds
 RENEWALS_PER_LEASE = 3
-STORE_ERRORS = (StoreUnavailableError, StoreUnsureError)
+STORE_ERRORS = (StoreUnavailableError, StoreOutcomeUnknownError)
 
 
 class Watch:
@@ -113,7 +113,7 @@
             dict(opened),
             seen.version,
         )
-        if isinstance(written, Versioned):
+        if isinstance(written, VersionedDocument):
             self._board.note(key, written.version, opened)
 
     async def _look_at_lease(self, record: ChunkRecord) -> None:
--- a/gentiantrestle/daemon/configuration/admin.py
+++ b/gentiantrestle/daemon/configuration/admin.py
@@ -19,9 +19,9 @@
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
-    Versioned,
+    VersionedDocument,
 )
 
 RETRY_AFTER = 2  # seconds
@@ -78,7 +78,7 @@
                 'The store does not answer; nothing was changed',
                 RETRY_AFTER,
             )
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             return Refusal(
                 STORE_UNSURE,
                 'The store did not say whether the change was made; read '
@@ -105,13 +105,13 @@
 
     async def _apply(self, proposal: Proposal) -> FleetDoc | Refusal:
         found = await self._store.get(FLEET)
-        current = found or Versioned(ABSENT, dict(EMPTY_FLEET))
+        current = found or VersionedDocument(ABSENT, dict(EMPTY_FLEET))
         wanted = decide(proposal, current.document['revision'])
         if isinstance(wanted, Refusal):
             return wanted
         await self._keep(current.document)
         written = await self._store.put(FLEET, dict(wanted), current.version)
-        if isinstance(written, Versioned):
+        if isinstance(written, VersionedDocument):
             self._configuration.take(FLEET, written.version, written.document)
             return wanted
         found = await self._store.get(FLEET)
--- a/gentiantrestle/daemon/configuration/service.py
+++ b/gentiantrestle/daemon/configuration/service.py
@@ -16,8 +16,8 @@
 from gentiantrestle.daemon.membership.view import Member
 from gentiantrestle.models import EMPTY_FLEET, FleetDoc
 from gentiantrestle.store.client import (
-    Listed,
-    Listing,
+    ListedObject,
+    ObjectList,
     StoreClient,
     StoreUnavailableError,
 )
@@ -76,7 +76,7 @@
         """Read what has changed in the store."""
         if self.loaded.is_set():
             after = self.mirror.revision
-            self._take_listing(await self._store.changes(after, *PREFIXES))
+            self._take_listing(await self._store.read_changes(after, *PREFIXES))
         else:
             self._take_listing(await self._store.list_documents(*PREFIXES))
 
@@ -158,7 +158,7 @@
         )
         return Envelope(changes=changes)
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _take_listing(self, listing: ObjectList) -> None:
         changes = map(_from_listed, listing['objects'])
         self._apply(changes, listing['revision'])
 
@@ -178,7 +178,7 @@
         events.emit(events.CONFIG_APPLIED, revision=fleet['revision'])
 
 
-def _from_listed(listed: Listed) -> Copied:
+def _from_listed(listed: ListedObject) -> Copied:
     return Copied(listed['name'], listed['version'], listed.get('body'))
 
 
--- a/gentiantrestle/daemon/entry/administration.py
+++ b/gentiantrestle/daemon/entry/administration.py
@@ -6,7 +6,7 @@
 from gentiantrestle.daemon.entry.service import Entry, Visit
 from gentiantrestle.daemon.membership.view import Member, State
 from gentiantrestle.errors import BAD_REQUEST, Refusal, RefusedError, refuse
-from gentiantrestle.http.messages import Response, answer_json
+from gentiantrestle.http.messages import Response, json_response
 
 MAX_CONFIG = 1024 * 1024  # bytes
 REVISION = 'revision'
@@ -17,7 +17,7 @@
     """Show the configuration that is in force here."""
     fleet = entry.parts.configuration.fleet
     shown = {kind: fleet[kind] for kind in KINDS}
-    return answer_json({REVISION: fleet['revision'], **shown})
+    return json_response({REVISION: fleet['revision'], **shown})
 
 
 @route('PUT', '/admin/config', OPERATOR)
@@ -30,7 +30,7 @@
     applied = await entry.parts.admin.apply(Proposal(document, based_on))
     if isinstance(applied, Refusal):
         raise RefusedError(applied)
-    return answer_json({REVISION: applied['revision']})
+    return json_response({REVISION: applied['revision']})
 
 
 @route('POST', '/admin/check', OPERATOR)
@@ -38,7 +38,7 @@
     """Check a configuration and change nothing."""
     document = await visit.req.read_json(MAX_CONFIG)
     problems = [problem._asdict() for problem in validate(document)]
-    return answer_json({'problems': problems})
+    return json_response({'problems': problems})
 
 
 @route('GET', '/admin/history/{revision}', OPERATOR)
@@ -47,7 +47,7 @@
     text = visit.fields[REVISION]
     if not text.isdigit():
         raise refuse(BAD_REQUEST, f'{text!r} is no revision')
-    return answer_json(await entry.parts.admin.recall(int(text)))
+    return json_response(await entry.parts.admin.recall(int(text)))
 
 
 @route('GET', '/admin/status', OPERATOR)
@@ -56,7 +56,7 @@
     parts = entry.parts
     now = parts.ctx.now()
     alive = set(parts.membership.view.names(now))
-    return answer_json(
+    return json_response(
         {
             'instance': parts.ctx.cfg.instance,
             'zone': parts.ctx.cfg.zone,
--- a/gentiantrestle/daemon/entry/bodies.py
+++ b/gentiantrestle/daemon/entry/bodies.py
@@ -17,7 +17,7 @@
     UNKNOWN_MODEL,
     refuse,
 )
-from gentiantrestle.http.messages import Request, decode_object
+from gentiantrestle.http.messages import Request, decode_json_object
 from gentiantrestle.models import DeploymentDoc, EndpointDoc, FleetDoc
 
 MAX_TOKENS = 32768
@@ -32,7 +32,7 @@
     fleet: FleetDoc,
 ) -> OnlineRequest:
     """Check a completion or chat request."""
-    body = decode_object(raw)
+    body = decode_json_object(raw)
     endpoint = find_endpoint(fleet, body.get('model'))
     deployment = find_deployment(fleet, endpoint)
     prompt = _check_prompt(req.path, body, endpoint['max_prompt'])
--- a/gentiantrestle/daemon/entry/callers.py
+++ b/gentiantrestle/daemon/entry/callers.py
@@ -7,7 +7,7 @@
 from gentiantrestle.daemon.entry.service import Entry, Visit
 from gentiantrestle.daemon.online.attempt import OnlineRequest
 from gentiantrestle.errors import NO_UPSTREAM, refuse
-from gentiantrestle.http.messages import Response, answer_json
+from gentiantrestle.http.messages import Response, json_response
 
 KEY_HEADER = 'idempotency-key'
 RETRY_AFTER = 1  # seconds
@@ -16,13 +16,13 @@
 @route('GET', '/healthz', ANYONE)
 async def answer_health(entry: Entry, visit: Visit) -> Response:
     """Say that the process runs."""
-    return answer_json({'alive': True})
+    return json_response({'alive': True})
 
 
 @route('GET', '/readyz', ANYONE)
 async def answer_ready(entry: Entry, visit: Visit) -> Response:
     """Say whether callers should come here."""
-    return answer_json(
+    return json_response(
         {'ready': entry.ready},
         HTTPStatus.OK if entry.ready else HTTPStatus.SERVICE_UNAVAILABLE,
     )
@@ -41,7 +41,7 @@
     """List the endpoints."""
     endpoints = entry.parts.configuration.fleet['endpoints']
     models = [{'id': name, 'object': 'model'} for name in sorted(endpoints)]
-    return answer_json({'object': 'list', 'data': models})
+    return json_response({'object': 'list', 'data': models})
 
 
 @route('POST', '/v1/completions', CLIENT)
--- a/gentiantrestle/daemon/entry/jobs.py
+++ b/gentiantrestle/daemon/entry/jobs.py
@@ -9,7 +9,7 @@
 from gentiantrestle.daemon.entry.routes import CLIENT, route
 from gentiantrestle.daemon.entry.service import Entry, Visit
 from gentiantrestle.errors import BAD_REQUEST, refuse
-from gentiantrestle.http.messages import JSON_LINES, Response, answer_json
+from gentiantrestle.http.messages import JSON_LINES, Response, json_response
 
 DEFAULT_WINDOW = 86400.0  # seconds
 MAX_WINDOW = 2592000.0  # seconds
@@ -25,12 +25,12 @@
         client,
         visit.req.headers.get(KEY_HEADER) or uuid4().hex,
         _window(visit),
-        visit.req.limited(entry.cfg.max_batch_body),
+        visit.req.iter_body(entry.cfg.max_batch_body),
         visit.req.body_size,
         settings.get('max_jobs', DEFAULT_MAX_JOBS),
     )
     job = await entry.batch.acceptor.accept(submission)
-    return answer_json(
+    return json_response(
         job_status(job, job['done'], job['failed']), HTTPStatus.ACCEPTED
     )
 
@@ -44,7 +44,7 @@
         reverse=True,
     )
     listed = [job_status(job, job['done'], job['failed']) for job in jobs]
-    return answer_json({'object': 'list', 'data': listed})
+    return json_response({'object': 'list', 'data': listed})
 
 
 @route('GET', '/v1/batches/{job}', CLIENT)
@@ -54,7 +54,7 @@
         visit.identity.client,
         visit.fields['job'],
     )
-    return answer_json(status)
+    return json_response(status)
 
 
 @route('GET', '/v1/batches/{job}/results', CLIENT)
@@ -74,11 +74,11 @@
         visit.identity.client,
         visit.fields['job'],
     )
-    return answer_json(status)
+    return json_response(status)
 
 
 def _window(visit: Visit) -> float:
-    given = visit.req.arguments('completion_window')
+    given = visit.req.query_values('completion_window')
     try:
         window = float(given[0]) if given else DEFAULT_WINDOW
     except ValueError:
--- a/gentiantrestle/daemon/entry/reports.py
+++ b/gentiantrestle/daemon/entry/reports.py
@@ -7,7 +7,7 @@
 from gentiantrestle.daemon.report.burn import OBJECTIVES, Risk, Row
 from gentiantrestle.daemon.report.service import FLEET, SCOPES, Gathered
 from gentiantrestle.errors import BAD_REQUEST, refuse
-from gentiantrestle.http.messages import Response, answer_json
+from gentiantrestle.http.messages import Response, json_response
 
 HTML = 'text/html; charset=utf-8'
 BAR_WIDTH = 200  # pixels
@@ -43,7 +43,7 @@
     scope = _scope(visit)
     gathered = await entry.parts.reporter.gather(scope)
     risks = await entry.parts.reporter.risks()
-    return answer_json(
+    return json_response(
         {
             'scope': scope,
             'missing': gathered.missing,
@@ -69,7 +69,7 @@
 
 
 def _scope(visit: Visit) -> str:
-    scope = [*visit.req.arguments('scope'), FLEET][0]
+    scope = [*visit.req.query_values('scope'), FLEET][0]
     if scope not in SCOPES:
         known = ', '.join(SCOPES)
         raise refuse(BAD_REQUEST, f'scope is not one of {known}')
--- a/gentiantrestle/daemon/entry/routes.py
+++ b/gentiantrestle/daemon/entry/routes.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple, TypeAlias
 
 from gentiantrestle.errors import NOT_FOUND, WRONG_METHOD, refuse
-from gentiantrestle.http.messages import Request, Response, answer_refusal
+from gentiantrestle.http.messages import Request, Response, refusal_response
 
 Answer: TypeAlias = Callable[..., Awaitable[Response]]
 FIELD = re.compile(r'{(\w+)}')
@@ -60,11 +60,11 @@
     if allowed:
         return _wrong_method(req, allowed)
     missing = refuse(NOT_FOUND, f'Nothing is at {req.path}')
-    return answer_refusal(missing.refusal)
+    return refusal_response(missing.refusal)
 
 
 def _wrong_method(req: Request, allowed: list[str]) -> Response:
     exc = refuse(WRONG_METHOD, f'{req.method} is not for {req.path}')
-    response = answer_refusal(exc.refusal)
+    response = refusal_response(exc.refusal)
     allow: Any = ('Allow', ', '.join(sorted(allowed)))
     return response._replace(headers=(*response.headers, allow))
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -20,8 +20,8 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.http.connection import Limits
-from gentiantrestle.http.messages import Request, Response, answer_refusal
+from gentiantrestle.http.connection import ServerLimits
+from gentiantrestle.http.messages import Request, Response, refusal_response
 from gentiantrestle.http.server import Server
 from gentiantrestle.store.client import StoreClient
 
@@ -64,7 +64,7 @@
         self.stopping = False
         self._server = Server(
             self._answer,
-            Limits(
+            ServerLimits(
                 cfg.header_timeout,
                 cfg.idle_timeout,
                 cfg.stall_timeout,
@@ -98,7 +98,7 @@
         try:
             response = await self._dispatch(match, req)
         except RefusedError as exc:
-            response = answer_refusal(exc.refusal)
+            response = refusal_response(exc.refusal)
         self._requests.inc(
             {
                 'route': match.route.label,
--- a/gentiantrestle/daemon/online/at_most_once.py
+++ b/gentiantrestle/daemon/online/at_most_once.py
@@ -23,13 +23,13 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.http.messages import Response, answer_refusal
+from gentiantrestle.http.messages import Response, refusal_response
 from gentiantrestle.models import Address
 from gentiantrestle.store.client import (
     ABSENT,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 from gentiantrestle.wire.peer.ttypes import Answer, AnswerRequest, Envelope
 
@@ -60,10 +60,10 @@
         try:
             self.head = await run()
         except RefusedError as exc:
-            self.head = answer_refusal(exc.refusal)
+            self.head = refusal_response(exc.refusal)
         except Exception as exc:  # noqa: BLE001 (recorded, else readers hang)
             events.emit(events.REQUEST_FAILED, error=repr(exc))
-            self.head = answer_refusal(
+            self.head = refusal_response(
                 Refusal(INTERNAL, 'The request failed with an internal error'),
             )
         try:
@@ -193,7 +193,7 @@
             written = await self._store.put(name, dict(claim), ABSENT)
         except StoreUnavailableError:
             raise _store_refusal() from None
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             self._uncertain_claims.add(name)
             raise _store_refusal() from None
         if written:
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -27,7 +27,11 @@
     ErrorKind,
     Refusal,
 )
-from gentiantrestle.http.client import Answer, LostError, NotSentError
+from gentiantrestle.http.client import (
+    ClientResponse,
+    ConnectionLostError,
+    NotSentError,
+)
 from gentiantrestle.http.messages import (
     JSON,
     error_document,
@@ -88,7 +92,7 @@
         self.attempt_id = uuid4().hex
         self.started_at = ctx.now()
 
-    async def send(self) -> Answer:
+    async def send(self) -> ClientResponse:
         """Send the request and wait for the head of the answer.
 
         Raises ``AttemptError`` if no answer comes in time, or if its status
@@ -108,7 +112,7 @@
             raise self._record_failure(
                 Stage.NOT_SENT, NO_UPSTREAM, exc
             ) from exc
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             raise self._record_failure(
                 Stage.SENT, UPSTREAM_UNSURE, exc
             ) from exc
@@ -116,7 +120,7 @@
             raise await self._error_from(answer)
         return answer
 
-    async def read(self, answer: Answer) -> bytes:
+    async def read(self, answer: ClientResponse) -> bytes:
         """Read the whole body and release the connection.
 
         Raises ``AttemptError`` if the body does not arrive in time.
@@ -124,7 +128,7 @@
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
                 body = await answer.read()
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             raise self._record_failure(
                 Stage.SENT, UPSTREAM_UNSURE, exc
             ) from exc
@@ -138,7 +142,7 @@
         self.upstream.health.record_success()
         return body
 
-    async def stream(self, answer: Answer) -> AsyncIterator[bytes]:
+    async def stream(self, answer: ClientResponse) -> AsyncIterator[bytes]:
         """Yield a stream's parts; end a cut stream with an error event.
 
         Raises ``AttemptError`` if it is cut before its first event is
@@ -149,7 +153,7 @@
         try:
             async for part in self._timed_parts(answer, monitor):
                 yield part
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             error = repr(exc)
         finally:
             self._ctx.metrics.tokens.add({}, monitor.event_count)
@@ -164,12 +168,12 @@
 
     async def _timed_parts(
         self,
-        answer: Answer,
+        answer: ClientResponse,
         monitor: StreamMonitor,
     ) -> AsyncIterator[bytes]:
         stall_timeout = self._ctx.cfg.stall_timeout
         measured_at, measured_events = self._ctx.now(), 0
-        async with aclosing(answer.parts(stall_timeout)) as parts:
+        async with aclosing(answer.iter_body(stall_timeout)) as parts:
             async for part in parts:
                 monitor.feed(part)
                 event_count = monitor.event_count - measured_events
@@ -182,12 +186,12 @@
                     measured_at, measured_events = now, monitor.event_count
                 yield part
 
-    async def _error_from(self, answer: Answer) -> AttemptError:
+    async def _error_from(self, answer: ClientResponse) -> AttemptError:
         incarnation = leaving_incarnation(answer)
         body = b''
         try:
             body = await answer.read()
-        except LostError:
+        except ConnectionLostError:
             incarnation = None
         finally:
             self.upstream.pool.release(answer)
@@ -239,7 +243,7 @@
     def __init__(
         self,
         attempt: Attempt,
-        answer: Answer,
+        answer: ClientResponse,
         release: Callable[[Attempt], None],
     ) -> None:
         """Take over the slot; ``release`` is called once, on close."""
--- a/gentiantrestle/daemon/upstreams/adapter.py
+++ b/gentiantrestle/daemon/upstreams/adapter.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gentiantrestle.http.client import Answer, Call
+from gentiantrestle.http.client import ClientRequest, ClientResponse
 from gentiantrestle.http.messages import JSON
 
 DONE_MARK = b'data: [DONE]'
@@ -24,9 +24,9 @@
     *,
     method: str = 'POST',
     content_type: str = JSON,
-) -> Call:
+) -> ClientRequest:
     """Build the call of one attempt, with its id in ``X-Attempt-Id``."""
-    return Call(
+    return ClientRequest(
         method,
         target,
         (('Content-Type', content_type), ('X-Attempt-Id', attempt_id)),
@@ -34,7 +34,7 @@
     )
 
 
-def leaving_incarnation(answer: Answer) -> int | None:
+def leaving_incarnation(answer: ClientResponse) -> int | None:
     """Return the incarnation of a leaving upstream that refused a request.
 
     Return None if the answer is not such a refusal.
--- a/gentiantrestle/daemon/upstreams/service.py
+++ b/gentiantrestle/daemon/upstreams/service.py
@@ -18,7 +18,7 @@
     OnlinePressure,
 )
 from gentiantrestle.daemon.upstreams.routing import Candidate, Snapshot
-from gentiantrestle.http.client import Pool
+from gentiantrestle.http.client import ConnectionPool
 from gentiantrestle.models import Address, DeploymentDoc, UpstreamDoc
 
 CONNECT_TIMEOUT = 1.0  # seconds
@@ -38,7 +38,7 @@
         self.online = 0
         self.batch = 0
         self.health = Health()
-        self.pool = Pool(address, POOL_SIZE, CONNECT_TIMEOUT)
+        self.pool = ConnectionPool(address, POOL_SIZE, CONNECT_TIMEOUT)
 
 
 class UpstreamStatus(TypedDict):
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -25,8 +25,8 @@
     ReadResults,
 )
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 ACCEPTED = 202
@@ -113,7 +113,7 @@
             raise refuse(
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
-        except StoreUnsureError as exc:
+        except StoreOutcomeUnknownError as exc:
             raise refuse(
                 UPSTREAM_UNSURE, f'The store did not confirm the job: {exc}'
             ) from exc
@@ -153,7 +153,7 @@
         """Cancel a job permanently: its unfinished items are not run."""
         try:
             known = await self._job_store.cancel(operation.job)
-        except (StoreUnavailableError, StoreUnsureError) as exc:
+        except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
             raise refuse(
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
--- a/gentiantrestle/gateway/batch/item_progress.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -15,7 +15,7 @@
     UpstreamConnection,
     UpstreamRequest,
 )
-from gentiantrestle.http.link import LinkRefusedError
+from gentiantrestle.http.link import RequestNotSentError
 
 OK = 200
 UNPROCESSABLE = 422  # the item can't succeed on any upstream
@@ -65,7 +65,7 @@
             await connection.connect(upstream)
             reply = await self._start(connection, dialect, upstream)
             outcome = await self._read(connection, reply)
-        except (LinkRefusedError, ResponseLostError, TimeoutError) as exc:
+        except (RequestNotSentError, ResponseLostError, TimeoutError) as exc:
             health.record_failure(now(), 0)
             outcome = RunOutcome(None, repr(exc))
         except EventOrderError as exc:
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -26,8 +26,8 @@
 from gentiantrestle.gateway.model import ItemResult, Job
 from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 # Results that a client has read at any instance must be readable at all
@@ -99,7 +99,7 @@
         """Create a job; return False if it was accepted before.
 
         Raises ``StoreUnavailableError`` if it was not accepted, and
-        ``StoreUnsureError`` if it may have been.
+        ``StoreOutcomeUnknownError`` if it may have been.
         """
         bodies = bodies_to_content(job)
         content = job_to_content(job)
@@ -161,7 +161,7 @@
     async def cancel(self, job_id: str) -> bool:
         """Cancel a job permanently; return False if there is no such job.
 
-        Raises ``StoreUnavailableError`` and ``StoreUnsureError``.
+        Raises ``StoreUnavailableError`` and ``StoreOutcomeUnknownError``.
         """
         return await self._set_state(job_id, ENDED)
 
@@ -173,7 +173,7 @@
         """
         try:
             await self._set_state(job_id, DONE)
-        except (StoreUnavailableError, StoreUnsureError) as exc:
+        except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
             events.emit(events.WRITE_FAILED, name=job_id, error=repr(exc))
 
     async def refresh(self, entry: JobEntry) -> None:
@@ -209,7 +209,7 @@
                 return
             try:
                 await self._write_chunk(entry, new)
-            except (StoreUnavailableError, StoreUnsureError) as exc:
+            except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
                 events.emit(
                     events.RESULTS_HELD, count=len(new), chunk=entry.job.id
                 )
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -30,7 +30,7 @@
     UpstreamConnection,
     UpstreamRequest,
 )
-from gentiantrestle.http.link import LinkRefusedError
+from gentiantrestle.http.link import RequestNotSentError
 
 OK = 200
 SERVER_ERROR = 500
@@ -200,7 +200,7 @@
         self._progress = before._replace(refusals=before.refusals + 1)
         try:
             await conn.connect(lease.upstream)
-        except LinkRefusedError as exc:
+        except RequestNotSentError as exc:
             raise AttemptFailedError(
                 AttemptOutcome.UNREACHED, repr(exc)
             ) from exc
--- a/gentiantrestle/gateway/http_server.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -188,7 +188,7 @@
     async def _read_head(self, link: Link) -> h11.Request | None:
         limits = self._limits()
         async with asyncio.timeout(limits.idle_timeout):
-            if not await link.readable():
+            if not await link.wait_readable():
                 return None
         try:
             async with asyncio.timeout(limits.header_timeout):
@@ -226,9 +226,9 @@
 
     async def _read_event(self, link: Link) -> h11.Event:
         try:
-            return await link.event()
+            return await link.next_event()
         except h11.RemoteProtocolError as exc:
-            if link.ended:
+            if link.eof_seen:
                 raise LinkLostError('cut') from exc
             kind = BAD_REQUEST
             if exc.error_status_hint == HEADERS_TOO_LARGE.status:
@@ -240,15 +240,15 @@
     async def _run_handler(self, link: Link, exchange: Exchange) -> None:
         """Run the handler; cancel it if the caller disconnects."""
         task = asyncio.create_task(self._handle_safely(exchange))
-        link.cancel_on_leave(task)
+        link.cancel_on_disconnect(task)
         try:
             await task
         except asyncio.CancelledError:
-            if not link.gone:
+            if not link.disconnected:
                 raise
             raise LinkLostError('the caller disconnected') from None
         finally:
-            link.cancel_on_leave(None)
+            link.cancel_on_disconnect(None)
 
     async def _handle_safely(self, exchange: Exchange) -> None:
         try:
@@ -300,7 +300,7 @@
 
 
 def _can_reuse(link: Link, exchange: Exchange) -> bool:
-    if not exchange.finished or exchange.close_after or link.gone:
+    if not exchange.finished or exchange.close_after or link.disconnected:
         return False
     states = (link.machine.our_state, link.machine.their_state)
     return states == (h11.DONE, h11.DONE)
--- a/gentiantrestle/gateway/ports.py
+++ b/gentiantrestle/gateway/ports.py
@@ -45,7 +45,7 @@
     """The platform's object store; each write changes one object.
 
     All calls raise ``StoreUnavailableError`` if nothing was done; writes
-    raise ``StoreUnsureError`` if the change may still take effect.
+    raise ``StoreOutcomeUnknownError`` if the change may still take effect.
     """
 
     async def list_page(
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -8,8 +8,8 @@
 from gentiantrestle.gateway.follower import NO_REVISION, StoreHandlers
 from gentiantrestle.gateway.ports import ObjectStore, StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 # Until then only the instance itself answers, afterwards all others as well.
@@ -66,7 +66,7 @@
             done = await self._store.put_status(
                 self._kind, stored, self._completed
             )
-        except (StoreUnavailableError, StoreUnsureError) as exc:
+        except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
             events.emit(events.WRITE_FAILED, name=name, error=repr(exc))
             return False
         if done:
--- a/gentiantrestle/gateway/retrying_store.py
+++ b/gentiantrestle/gateway/retrying_store.py
@@ -12,8 +12,8 @@
 from gentiantrestle import events
 from gentiantrestle.gateway.ports import ObjectStore, Page, StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 # The store answers in 4 ms, and in about 0.2 s when it is slow.
@@ -39,7 +39,7 @@
     """An object store that repeats writes whose outcome is unknown.
 
     Raises ``StoreUnavailableError`` if the first attempt was not carried out,
-    and ``StoreUnsureError`` if a write may still take effect.
+    and ``StoreOutcomeUnknownError`` if a write may still take effect.
     """
 
     def __init__(self, store: ObjectStore, now: Callable[[], float]) -> None:
@@ -83,7 +83,7 @@
         await self._write(name, lambda: self._store.delete(kind, name))
 
     async def _write(self, name: str, attempt: Callable[[], Awaitable]) -> Any:
-        unsure: StoreUnsureError | None = None
+        unsure: StoreOutcomeUnknownError | None = None
         for timeout in attempt_timeouts(self._now(), self._now):
             try:
                 async with asyncio.timeout(timeout):
@@ -93,7 +93,7 @@
                     raise
                 await asyncio.sleep(timeout)
                 events.emit(events.WRITE_FAILED, name=name, error=repr(exc))
-            except (StoreUnsureError, TimeoutError) as exc:
-                unsure = StoreUnsureError(repr(exc))
+            except (StoreOutcomeUnknownError, TimeoutError) as exc:
+                unsure = StoreOutcomeUnknownError(repr(exc))
                 events.emit(events.WRITE_UNSURE, name=name)
         raise unsure
--- a/gentiantrestle/gateway/upstream_connection.py
+++ b/gentiantrestle/gateway/upstream_connection.py
@@ -11,7 +11,7 @@
 from gentiantrestle.http.link import (
     Link,
     LinkLostError,
-    LinkRefusedError,
+    RequestNotSentError,
     open_link,
 )
 
@@ -48,7 +48,7 @@
     async def connect(self, upstream: Upstream) -> None:
         """Connect to ``upstream``.
 
-        Raises ``LinkRefusedError``; then nothing was sent.
+        Raises ``RequestNotSentError``; then nothing was sent.
         """
         self._link = await open_link(
             upstream.address, CONNECT_TIMEOUT, MAX_HEADER_SIZE
@@ -57,7 +57,7 @@
     async def send(self, req: UpstreamRequest) -> Reply:
         """Send the request and wait for the head of a genuine response.
 
-        Raises ``ResponseLostError``, or ``LinkRefusedError`` if the request
+        Raises ``ResponseLostError``, or ``RequestNotSentError`` if the request
         can't be encoded as HTTP.
         """
         head = _encode_head(req)
@@ -102,7 +102,7 @@
     ) -> h11.Data | h11.EndOfMessage:
         try:
             async with asyncio.timeout(stall_timeout):
-                event = await self._link.event()
+                event = await self._link.next_event()
         except (LinkLostError, h11.ProtocolError, TimeoutError) as exc:
             raise ResponseLostError(repr(exc)) from exc
         if isinstance(event, h11.Data | h11.EndOfMessage):
@@ -111,7 +111,7 @@
 
     async def _read_head(self) -> Reply:
         while True:
-            event = await self._link.event()
+            event = await self._link.next_event()
             if isinstance(event, h11.Response):
                 return self._dialect.read_reply(event)
             if not isinstance(event, h11.InformationalResponse):
@@ -127,4 +127,4 @@
             headers=[*req.headers, length],
         )
     except h11.LocalProtocolError as exc:
-        raise LinkRefusedError(f'the request is not valid HTTP: {exc}') from exc
+        raise RequestNotSentError(f'the request is not valid HTTP: {exc}') from exc
--- a/gentiantrestle/http/client.py
+++ b/gentiantrestle/http/client.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from gentiantrestle.http.messages import HeaderList
+from gentiantrestle.http.messages import HeaderPairs
 from gentiantrestle.models import Address
 
 READ_SIZE = 65536  # bytes
@@ -19,11 +19,11 @@
     """No byte of the request has left: it was not run."""
 
 
-class LostError(Exception):
+class ConnectionLostError(Exception):
     """The connection was lost after bytes of the request had left."""
 
 
-class Call(NamedTuple):
+class ClientRequest(NamedTuple):
     """A request to send."""
 
     method: str
@@ -72,7 +72,7 @@
             and not self._writer.transport.is_closing()
         )
 
-    async def send(self, call: Call, host: str) -> 'Answer':
+    async def send(self, call: ClientRequest, host: str) -> 'ClientResponse':
         """Send a call and wait for the head of its answer."""
         head = h11.Request(
             method=call.method,
@@ -90,15 +90,15 @@
             self._writer.write(sent)
             await self._writer.drain()
         except ConnectionError as exc:
-            raise LostError(f'{host}: {exc!r}') from exc
+            raise ConnectionLostError(f'{host}: {exc!r}') from exc
         while True:
             event = await self._event()
             if isinstance(event, h11.Response):
-                return Answer(
+                return ClientResponse(
                     event.status_code, event.headers.raw_items(), self
                 )
 
-    async def chunks(self) -> AsyncIterator[bytes]:
+    async def iter_body(self) -> AsyncIterator[bytes]:
         """Pass on the parts of the answer's body until it is whole."""
         while True:
             event = await self._event()
@@ -124,17 +124,17 @@
                 self._h11.receive_data(await self._reader.read(READ_SIZE))
                 event = self._h11.next_event()
         except (h11.RemoteProtocolError, ConnectionError) as exc:
-            raise LostError(repr(exc)) from exc
+            raise ConnectionLostError(repr(exc)) from exc
         if isinstance(event, h11.ConnectionClosed):
-            raise LostError('closed early')
+            raise ConnectionLostError('closed early')
         return event
 
 
-class Answer(NamedTuple):
+class ClientResponse(NamedTuple):
     """The head of an answer, and the connection its body comes on."""
 
     status: int
-    raw_headers: HeaderList
+    raw_headers: HeaderPairs
     conn: ClientConnection
 
     def header(self, name: str) -> str:
@@ -145,25 +145,25 @@
                 return text.decode('latin-1')
         return ''
 
-    async def parts(self, stall: float) -> AsyncIterator[bytes]:
+    async def iter_body(self, stall: float) -> AsyncIterator[bytes]:
         """Pass the body on; raise ``TimeoutError`` when it stalls.
 
         ``stall`` is the longest pause between two parts, in s.
         """
-        async with aclosing(self.conn.chunks()) as parts:
+        async with aclosing(self.conn.iter_body()) as iter_body:
             while True:
                 async with asyncio.timeout(stall):
-                    part = await anext(parts, None)
+                    part = await anext(iter_body, None)
                 if part is None:
                     return
                 yield part
 
     async def read(self) -> bytes:
         """Collect the whole body."""
-        return b''.join([part async for part in self.conn.chunks()])
+        return b''.join([part async for part in self.conn.iter_body()])
 
 
-class Pool:
+class ConnectionPool:
     """Kept connections to one address, at most ``size`` at a time."""
 
     def __init__(self, address: Address, size: int, timeout: float) -> None:
@@ -173,7 +173,7 @@
         self._slots = asyncio.Semaphore(size)
         self._idle: list[ClientConnection] = []
 
-    async def call(self, call: Call) -> Answer:
+    async def call(self, call: ClientRequest) -> ClientResponse:
         """Send a call; its answer must be given to ``release`` at last."""
         await self._slots.acquire()
         conn = None
@@ -186,7 +186,7 @@
                 conn.close()
             raise
 
-    def release(self, answer: Answer) -> None:
+    def release(self, answer: ClientResponse) -> None:
         """Take a connection back; one in mid-answer is closed."""
         self._slots.release()
         if answer.conn.usable and len(self._idle) < MAX_KEPT:
@@ -194,7 +194,7 @@
             return
         answer.conn.close()
 
-    async def fetch(self, call: Call) -> tuple[Answer, bytes]:
+    async def fetch(self, call: ClientRequest) -> tuple[ClientResponse, bytes]:
         """Send a call and collect its whole answer."""
         answer = await self.call(call)
         try:
--- a/gentiantrestle/http/connection.py
+++ b/gentiantrestle/http/connection.py
@@ -15,7 +15,7 @@
     RefusedError,
     refuse,
 )
-from gentiantrestle.http.messages import Request, Response, answer_refusal
+from gentiantrestle.http.messages import Request, Response, refusal_response
 
 READ_SIZE = 65536  # bytes
 WRITE_BUFFER = 65536  # bytes
@@ -25,7 +25,7 @@
 Handler: TypeAlias = Callable[[Request], Awaitable[Response]]
 
 
-class Limits(NamedTuple):
+class ServerLimits(NamedTuple):
     """Bounds of one server."""
 
     header_timeout: float = 10
@@ -34,7 +34,7 @@
     max_connections: int = 2000
 
 
-class ClosedError(Exception):
+class ConnectionClosedError(Exception):
     """The other side left, or stalled beyond the bounds."""
 
 
@@ -45,7 +45,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        limits: Limits,
+        limits: ServerLimits,
     ) -> None:
         """Wrap the streams in the protocol's state machine."""
         self._reader = reader
@@ -73,7 +73,7 @@
     async def refuse(self, exc: RefusedError) -> None:
         """Answer with a refusal where the state still allows one."""
         if self._h11.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
-            response = answer_refusal(exc.refusal)
+            response = refusal_response(exc.refusal)
             await self._send(response, close=True)
             await self._linger()
 
@@ -103,10 +103,10 @@
                 received = await self._reader.read(READ_SIZE)
         except TimeoutError:
             if not self._h11.trailing_data[0] and stopping is not None:
-                raise ClosedError('idle') from None
+                raise ConnectionClosedError('idle') from None
             raise refuse(TIMED_OUT, 'The request came too slowly') from None
         except ConnectionError as exc:
-            raise ClosedError('reset') from exc
+            raise ConnectionClosedError('reset') from exc
         self._h11.receive_data(received)
 
     def _next_event(self) -> h11.Event | type[h11.NEED_DATA]:
@@ -128,7 +128,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if event is not h11.NEED_DATA:
-                raise ClosedError('body cut')
+                raise ConnectionClosedError('body cut')
             await self._receive(self._limits.stall_timeout)
 
     def _go_on(self) -> None:
@@ -175,7 +175,7 @@
 
     async def _skip_body(self, req: Request) -> None:
         """Read a short rest, so that the answer is not lost to a reset."""
-        with suppress(RefusedError, ClosedError):
+        with suppress(RefusedError, ConnectionClosedError):
             await req.read(MAX_HEADER)
 
     async def _send(self, response: Response, *, close: bool) -> None:
@@ -208,7 +208,7 @@
     async def _write(self, sent: bytes) -> None:
         transport = self._writer.transport
         if transport.is_closing():
-            raise ClosedError('caller left')
+            raise ConnectionClosedError('caller left')
         self._writer.write(sent)
         if transport.get_write_buffer_size() <= WRITE_BUFFER:
             return
@@ -217,4 +217,4 @@
                 await self._writer.drain()
         except (TimeoutError, ConnectionError) as exc:
             transport.abort()
-            raise ClosedError('caller stalled') from exc
+            raise ConnectionClosedError('caller stalled') from exc
--- a/gentiantrestle/http/link.py
+++ b/gentiantrestle/http/link.py
@@ -23,7 +23,7 @@
     """The connection was reset, or ended before the message was whole."""
 
 
-class LinkRefusedError(Exception):
+class RequestNotSentError(Exception):
     """The connection was never made: no byte of a request has left."""
 
 
@@ -45,7 +45,7 @@
             role,
             max_incomplete_event_size=header_limit,
         )
-        self.ended = False
+        self.eof_seen = False
         self.lost = False
         self._leave_hook: asyncio.Task[None] | None = None
         self._transport: asyncio.Transport | None = None
@@ -71,7 +71,7 @@
 
     def eof_received(self) -> bool:
         """Note the peer's orderly end; it counts as leaving."""
-        self.ended = True
+        self.eof_seen = True
         self.machine.receive_data(b'')
         self._arrived.set()
         self._tell_leaving()
@@ -93,25 +93,25 @@
         self._writable.set()
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Tell whether the peer has ended or lost the connection."""
-        return self.ended or self.lost
+        return self.eof_seen or self.lost
 
-    def cancel_on_leave(self, task: asyncio.Task[None] | None) -> None:
+    def cancel_on_disconnect(self, task: asyncio.Task[None] | None) -> None:
         """Cancel ``task`` as soon as the peer leaves; None stops that."""
         self._leave_hook = task
-        if task is not None and self.gone:
+        if task is not None and self.disconnected:
             task.cancel()
 
-    async def readable(self) -> bool:
+    async def wait_readable(self) -> bool:
         """Wait for the first bytes of a message; False when none come."""
         while not self.machine.trailing_data[0]:
-            if self.gone:
+            if self.disconnected:
                 return False
             await self._receive()
         return True
 
-    async def event(self) -> h11.Event:
+    async def next_event(self) -> h11.Event:
         """Return the next event, or raise ``LinkLostError``.
 
         Raises ``h11.RemoteProtocolError`` for bytes that are not HTTP.
@@ -146,7 +146,7 @@
     async def _receive(self) -> None:
         self._unread = 0
         self._arrived.clear()
-        if not self.gone:
+        if not self.disconnected:
             self._transport.resume_reading()
         await self._arrived.wait()
 
@@ -160,7 +160,7 @@
     timeout: float,
     header_limit: int,
 ) -> Link:
-    """Connect within ``timeout`` s, or raise ``LinkRefusedError``."""
+    """Connect within ``timeout`` s, or raise ``RequestNotSentError``."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
@@ -170,7 +170,7 @@
                 address.port,
             )
     except (OSError, TimeoutError) as exc:
-        raise LinkRefusedError(f'{address}: {exc!r}') from exc
+        raise RequestNotSentError(f'{address}: {exc!r}') from exc
     return link
 
 
--- a/gentiantrestle/http/messages.py
+++ b/gentiantrestle/http/messages.py
@@ -8,7 +8,7 @@
 
 from gentiantrestle.errors import BAD_REQUEST, TOO_LARGE, Refusal, refuse
 
-HeaderList: TypeAlias = list[tuple[bytes, bytes]]
+HeaderPairs: TypeAlias = list[tuple[bytes, bytes]]
 
 JSON = 'application/json'
 JSON_LINES = 'application/x-ndjson'
@@ -34,7 +34,7 @@
         self.headers = headers
         self.chunks = chunks
 
-    def arguments(self, name: str) -> list[str]:
+    def query_values(self, name: str) -> list[str]:
         """Return every value of one query argument."""
         return [text for key, text in self.query if key == name]
 
@@ -46,10 +46,10 @@
 
     async def read(self, limit: int) -> bytes:
         """Collect the body; refuse one above ``limit`` bytes."""
-        parts = [part async for part in self.limited(limit)]
+        parts = [part async for part in self.iter_body(limit)]
         return b''.join(parts)
 
-    async def limited(self, limit: int) -> AsyncIterator[bytes]:
+    async def iter_body(self, limit: int) -> AsyncIterator[bytes]:
         """Pass body parts on; refuse once ``limit`` bytes are passed."""
         size = 0
         async for part in self.chunks:
@@ -60,7 +60,7 @@
 
     async def read_json(self, limit: int) -> dict[str, Any]:
         """Collect the body as one JSON object."""
-        return decode_object(await self.read(limit))
+        return decode_json_object(await self.read(limit))
 
 
 class Response(NamedTuple):
@@ -72,7 +72,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-def decode_object(body: bytes) -> dict[str, Any]:
+def decode_json_object(body: bytes) -> dict[str, Any]:
     """Read a JSON object, or refuse the body with the place of the fault."""
     try:
         return msgspec.json.decode(body, type=dict[str, Any])
@@ -83,7 +83,7 @@
         ) from None
 
 
-def answer_json(document: Any, status: int = OK) -> Response:
+def json_response(document: Any, status: int = OK) -> Response:
     """Answer with a JSON document."""
     return Response(status, msgspec.json.Encoder().encode_lines([document]))
 
@@ -100,7 +100,7 @@
     }
 
 
-def answer_refusal(refusal: Refusal) -> Response:
+def refusal_response(refusal: Refusal) -> Response:
     """Answer with a refusal, its remedy and whether the work was run."""
     headers = [('X-Run', refusal.kind.run.value)]
     if refusal.retry_after is not None:
--- a/gentiantrestle/http/server.py
+++ b/gentiantrestle/http/server.py
@@ -13,12 +13,12 @@
     refuse,
 )
 from gentiantrestle.http.connection import (
-    ClosedError,
+    ConnectionClosedError,
     Handler,
-    Limits,
     ServerConnection,
+    ServerLimits,
 )
-from gentiantrestle.http.messages import Request, Response, answer_refusal
+from gentiantrestle.http.messages import Request, Response, refusal_response
 
 READ_SIZE = 65536  # bytes
 ACCEPT_BACKLOG = 1024
@@ -27,7 +27,7 @@
 class Server:
     """Accepts connections and stops without cutting a request."""
 
-    def __init__(self, handle: Handler, limits: Limits) -> None:
+    def __init__(self, handle: Handler, limits: ServerLimits) -> None:
         """Serve with ``handle`` within ``limits``."""
         self._handle = handle
         self._limits = limits
@@ -81,9 +81,9 @@
                 raise refuse(OVERLOADED, 'Too many connections', 1)
             await conn.serve(self._safe_handle, self._stopping)
         except RefusedError as exc:
-            with suppress(ClosedError, h11.LocalProtocolError):
+            with suppress(ConnectionClosedError, h11.LocalProtocolError):
                 await conn.refuse(exc)
-        except (ClosedError, h11.LocalProtocolError, ConnectionError):
+        except (ConnectionClosedError, h11.LocalProtocolError, ConnectionError):
             return
         except asyncio.CancelledError:
             return
@@ -95,10 +95,10 @@
         try:
             return await self._handle(req)
         except RefusedError as exc:
-            return answer_refusal(exc.refusal)
-        except ClosedError:
+            return refusal_response(exc.refusal)
+        except ConnectionClosedError:
             raise
         except Exception as exc:  # noqa: BLE001 (answered and logged)
             events.emit(events.REQUEST_FAILED, error=repr(exc))
             failure = refuse(INTERNAL, 'The request failed inside')
-            return answer_refusal(failure.refusal)
+            return refusal_response(failure.refusal)
--- a/gentiantrestle/library/connection.py
+++ b/gentiantrestle/library/connection.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from gentiantrestle.http.client import (
-    Answer,
-    Call,
     ClientConnection,
-    LostError,
+    ClientRequest,
+    ClientResponse,
+    ConnectionLostError,
     NotSentError,
 )
 from gentiantrestle.http.messages import JSON
@@ -86,14 +86,14 @@
         target: str,
         body: bytes,
         headers: tuple[tuple[str, str], ...],
-    ) -> Call:
+    ) -> ClientRequest:
         own = (('Authorization', f'Bearer {self._key}'), ('Content-Type', JSON))
-        return Call(method, target, (*own, *headers), body)
+        return ClientRequest(method, target, (*own, *headers), body)
 
-    async def _fetch(self, call: Call) -> bytes:
+    async def _fetch(self, call: ClientRequest) -> bytes:
         return b''.join([part async for part in self._parts(call)])
 
-    async def _parts(self, call: Call) -> AsyncIterator[bytes]:
+    async def _parts(self, call: ClientRequest) -> AsyncIterator[bytes]:
         try:
             async with asyncio.timeout(TIMEOUT):
                 conn = await ClientConnection.open(
@@ -101,23 +101,23 @@
                     CONNECT_TIMEOUT,
                 )
                 answer = await conn.send(call, str(self._address))
-        except (NotSentError, LostError, TimeoutError) as exc:
+        except (NotSentError, ConnectionLostError, TimeoutError) as exc:
             raise UnreachableError(
                 f'{self._address} does not answer: {exc}. '
                 'Check --server and that the instance runs.',
             ) from exc
         try:
             await _raise_refusal(answer)
-            async with aclosing(conn.chunks()) as parts:
+            async with aclosing(conn.iter_body()) as parts:
                 async for part in parts:
                     yield part
-        except LostError as exc:
+        except ConnectionLostError as exc:
             raise UnreachableError(f'The answer was cut: {exc}') from exc
         finally:
             conn.close()
 
 
-async def _raise_refusal(answer: Answer) -> None:
+async def _raise_refusal(answer: ClientResponse) -> None:
     if answer.status < FIRST_ERROR:
         return
     body = await answer.read()
--- a/gentiantrestle/platform/documents.py
+++ b/gentiantrestle/platform/document_decoder.py
@@ -34,7 +34,7 @@
 MS = 0.001  # seconds
 
 
-class StoreDocuments:
+class StoreDocumentDecoder:
     """Decodes the platform's kinds; what can't be read is logged."""
 
     def read_table(self, stored: StoredObject) -> RoutingTable | None:
--- a/gentiantrestle/platform/objects.py
+++ b/gentiantrestle/platform/object_client.py
@@ -8,11 +8,16 @@
 
 from gentiantrestle import events
 from gentiantrestle.gateway.ports import HistoryGoneError, Page, StoredObject
-from gentiantrestle.http.client import Call, LostError, NotSentError, Pool
+from gentiantrestle.http.client import (
+    ClientRequest,
+    ConnectionLostError,
+    ConnectionPool,
+    NotSentError,
+)
 from gentiantrestle.models import Address
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 ROOT = '/gentiantrestle/objects'
@@ -35,7 +40,7 @@
 
     def __init__(self, address: Address) -> None:
         """Connect when the first call is made."""
-        self._pool = Pool(address, POOL_SIZE, CALL_TIMEOUT)
+        self._pool = ConnectionPool(address, POOL_SIZE, CALL_TIMEOUT)
         self.calls = 0
 
     async def list_page(
@@ -118,7 +123,7 @@
                 answer, received = await self._pool.fetch(call)
         except NotSentError as exc:
             raise StoreUnavailableError(str(exc)) from exc
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             raise _lost(method, exc) from exc
         if answer.status in ENDED:
             return answer.status, msgspec.json.decode(received or b'null')
@@ -135,7 +140,7 @@
 def _lost(method: str, exc: Exception) -> Exception:
     if method == 'GET':
         return StoreUnavailableError(repr(exc))
-    return StoreUnsureError(repr(exc))
+    return StoreOutcomeUnknownError(repr(exc))
 
 
 def _path(kind: str, name: str = '') -> str:
@@ -143,10 +148,10 @@
     return f'{path}/{quote(name)}' if name else path
 
 
-def _encode(method: str, target: str, body: Any) -> Call:
+def _encode(method: str, target: str, body: Any) -> ClientRequest:
     if body is None:
-        return Call(method, target)
-    return Call(
+        return ClientRequest(method, target)
+    return ClientRequest(
         method,
         target,
         (('Content-Type', 'application/json'),),
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -17,15 +17,15 @@
 from gentiantrestle.gateway.service import Gateway
 from gentiantrestle.models import Address
 from gentiantrestle.platform.dialect import PlatformDialect
-from gentiantrestle.platform.documents import (
+from gentiantrestle.platform.document_decoder import (
     CONFIG_KIND,
     CONFIG_NAME,
     RETIRED,
     RETIREMENT_KIND,
     SERVER_KIND,
-    StoreDocuments,
+    StoreDocumentDecoder,
 )
-from gentiantrestle.platform.objects import ObjectClient
+from gentiantrestle.platform.object_client import ObjectClient
 from gentiantrestle.platform.readiness import Readiness
 from gentiantrestle.platform.settings import NodeSettings
 from gentiantrestle.status import ExitStatus
@@ -65,7 +65,7 @@
         ),
         Adapter(
             ObjectClient(node.store),
-            StoreDocuments(),
+            StoreDocumentDecoder(),
             PlatformDialect(),
             ObjectKinds(CONFIG_KIND, CONFIG_NAME, SERVER_KIND),
         ),
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -9,7 +9,12 @@
 
 from gentiantrestle import events
 from gentiantrestle.context import Context
-from gentiantrestle.http.client import Call, LostError, NotSentError, Pool
+from gentiantrestle.http.client import (
+    ClientRequest,
+    ConnectionLostError,
+    ConnectionPool,
+    NotSentError,
+)
 
 ABSENT = 0
 TOKEN = 'token'
@@ -27,11 +32,11 @@
     """The store did not answer; nothing was changed."""
 
 
-class StoreUnsureError(Exception):
+class StoreOutcomeUnknownError(Exception):
     """The store did not answer; the change may yet take effect."""
 
 
-class Versioned(NamedTuple):
+class VersionedDocument(NamedTuple):
     """A document and the version it was read or written at."""
 
     version: int
@@ -46,7 +51,7 @@
     body: bytes
 
 
-class Conflict(NamedTuple):
+class WriteConflict(NamedTuple):
     """A falsy sentinel: the condition of a write did not hold."""
 
     name: str
@@ -57,7 +62,7 @@
         return False
 
 
-class Listed(TypedDict):
+class ListedObject(TypedDict):
     """One object in a list or watch answer."""
 
     name: str
@@ -66,11 +71,11 @@
     deleted: NotRequired[bool]
 
 
-class Listing(TypedDict):
+class ObjectList(TypedDict):
     """What a list or a watch answers."""
 
     revision: int
-    objects: list[Listed]  # noqa: WPS110 (the object API's word)
+    objects: list[ListedObject]  # noqa: WPS110 (the object API's word)
 
 
 class StoreClient:
@@ -81,31 +86,31 @@
         self._ctx = ctx
         timeout = ctx.cfg.store_timeout
         address = ctx.cfg.store_address
-        self._calls = Pool(address, POOL_SIZE, timeout)
-        self._watches = Pool(address, 1, timeout)
+        self._calls = ConnectionPool(address, POOL_SIZE, timeout)
+        self._watches = ConnectionPool(address, 1, timeout)
         self.reachable = True
 
-    async def get(self, name: str) -> Versioned | None:
+    async def get(self, name: str) -> VersionedDocument | None:
         """Read one object, or nothing where none exists."""
         reply = await self._call('get', _get(name))
         if reply.status == NOT_FOUND:
             return None
-        return Versioned(reply.version, msgspec.json.decode(reply.body))
+        return VersionedDocument(reply.version, msgspec.json.decode(reply.body))
 
-    async def list_names(self, prefix: str) -> list[Listed]:
+    async def list_names(self, prefix: str) -> list[ListedObject]:
         """List names and versions below a prefix."""
         return (await self._list([('prefix', prefix)]))['objects']
 
-    async def list_documents(self, *prefixes: str) -> Listing:
+    async def list_documents(self, *prefixes: str) -> ObjectList:
         """List whole documents below prefixes, with the revision."""
         query = [('prefix', prefix) for prefix in prefixes]
         return await self._list([*query, ('values', '1')])
 
-    async def watch(self, after: int, *prefixes: str) -> Listing:
+    async def watch(self, after: int, *prefixes: str) -> ObjectList:
         """Wait for changes after a revision; empty when none came."""
         return await self._watch(after, WATCH_WAIT, prefixes)
 
-    async def changes(self, after: int, *prefixes: str) -> Listing:
+    async def read_changes(self, after: int, *prefixes: str) -> ObjectList:
         """Read the changes after a revision without waiting for any."""
         return await self._watch(after, 0, prefixes)
 
@@ -114,7 +119,7 @@
         name: str,
         document: Document,
         expected: int,
-    ) -> Versioned | Conflict:
+    ) -> VersionedDocument | WriteConflict:
         """Write if the version is still the expected one.
 
         A lost answer is settled by sending the same write again under the
@@ -128,13 +133,13 @@
                 await asyncio.sleep(SETTLE_PAUSE * 2**attempt)
                 continue
             if sent.status != PRECONDITION_FAILED:
-                return Versioned(sent.version, written)
+                return VersionedDocument(sent.version, written)
             return await self._settle(name, written, lost=attempt > 0)
-        raise StoreUnsureError(name)
+        raise StoreOutcomeUnknownError(name)
 
     async def delete(self, name: str) -> None:
         """Delete an object; deleting twice is the same as once."""
-        await self._call('write', Call('DELETE', _target(name)))
+        await self._call('write', ClientRequest('DELETE', _target(name)))
 
     def close(self) -> None:
         """Close idle connections."""
@@ -144,7 +149,7 @@
     async def _try_write(
         self,
         name: str,
-        call: Call,
+        call: ClientRequest,
         *,
         first: bool,
     ) -> 'Reply | None':
@@ -154,7 +159,7 @@
         except StoreUnavailableError:
             if first:
                 raise
-        except StoreUnsureError:
+        except StoreOutcomeUnknownError:
             events.emit(events.WRITE_UNSURE, name=name)
         return None
 
@@ -164,47 +169,47 @@
         written: Document,
         *,
         lost: bool,
-    ) -> Versioned | Conflict:
+    ) -> VersionedDocument | WriteConflict:
         if not lost:
-            return Conflict(name, f'{name} was changed by another writer')
+            return WriteConflict(name, f'{name} was changed by another writer')
         try:
             found = await self.get(name)
         except StoreUnavailableError as exc:
-            raise StoreUnsureError(name) from exc
+            raise StoreOutcomeUnknownError(name) from exc
         mine = found is not None and found.document[TOKEN] == written[TOKEN]
         outcome = 'done' if mine else 'conflict'
         events.emit(events.WRITE_SETTLED, name=name, outcome=outcome)
         if mine:
             return found
-        return Conflict(name, f'{name} was changed by another writer')
+        return WriteConflict(name, f'{name} was changed by another writer')
 
     async def _watch(
         self,
         after: int,
         wait: float,
         prefixes: tuple[str, ...],
-    ) -> Listing:
+    ) -> ObjectList:
         query = [('prefix', prefix) for prefix in prefixes]
         query += [('values', '1'), ('after', str(after)), ('wait', str(wait))]
         reply = await self._call(
             'watch' if wait else 'compare',
-            Call('GET', f'/v1/watch?{urlencode(query)}'),
+            ClientRequest('GET', f'/v1/watch?{urlencode(query)}'),
             pool=self._watches if wait else self._calls,
             timeout=wait + self._ctx.cfg.store_timeout,
         )
-        return msgspec.json.decode(reply.body, type=Listing)
+        return msgspec.json.decode(reply.body, type=ObjectList)
 
-    async def _list(self, query: list[tuple[str, str]]) -> Listing:
+    async def _list(self, query: list[tuple[str, str]]) -> ObjectList:
         target = f'{ROOT}?{urlencode(query)}'
-        reply = await self._call('list', Call('GET', target))
-        return msgspec.json.decode(reply.body, type=Listing)
+        reply = await self._call('list', ClientRequest('GET', target))
+        return msgspec.json.decode(reply.body, type=ObjectList)
 
     async def _call(
         self,
         verb: str,
-        call: Call,
+        call: ClientRequest,
         *,
-        pool: Pool | None = None,
+        pool: ConnectionPool | None = None,
         timeout: float | None = None,
     ) -> 'Reply':
         self._ctx.metrics.store_calls.inc({'verb': verb})
@@ -217,10 +222,10 @@
         except NotSentError as exc:
             self._note(reachable=False, error=str(exc))
             raise StoreUnavailableError(str(exc)) from exc
-        except (LostError, TimeoutError) as exc:
+        except (ConnectionLostError, TimeoutError) as exc:
             self._note(reachable=False, error=repr(exc))
             if verb == 'write':
-                raise StoreUnsureError(repr(exc)) from exc
+                raise StoreOutcomeUnknownError(repr(exc)) from exc
             raise StoreUnavailableError(repr(exc)) from exc
         self._note(reachable=True)
         version = int(answer.header('X-Version') or 0)
@@ -238,13 +243,13 @@
     return f'{ROOT}/{quote(name)}'
 
 
-def _get(name: str) -> Call:
-    return Call('GET', _target(name))
+def _get(name: str) -> ClientRequest:
+    return ClientRequest('GET', _target(name))
 
 
-def _put(name: str, document: Document, expected: int) -> Call:
+def _put(name: str, document: Document, expected: int) -> ClientRequest:
     condition = ('If-Match', str(expected))
     if expected == ABSENT:
         condition = ('If-None-Match', '*')
     body = msgspec.json.encode(document)
-    return Call('PUT', _target(name), (condition,), body)
+    return ClientRequest('PUT', _target(name), (condition,), body)
--- a/standins/core.py
+++ b/standins/core.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from gentiantrestle import events
-from gentiantrestle.http.connection import Limits
+from gentiantrestle.http.connection import ServerLimits
 from gentiantrestle.http.messages import Request, Response
 from gentiantrestle.http.server import Server
 from standins.engine import EngineStandin
@@ -48,7 +48,7 @@
 async def serve(kind: str, port: int, cfg: Mapping[str, str]) -> None:
     """Run one stand-in until it is told to stop."""
     standin = KINDS[kind].from_config(cfg)
-    server = Server(standin.handle, Limits(idle_timeout=IDLE_TIMEOUT))
+    server = Server(standin.handle, ServerLimits(idle_timeout=IDLE_TIMEOUT))
     await server.start(HOST, port)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -14,7 +14,7 @@
     EVENT_STREAM,
     Request,
     Response,
-    answer_json,
+    json_response,
 )
 
 MAX_BODY = 16777216  # bytes
@@ -138,8 +138,8 @@
         if req.path == '/orders':
             return self._order(await req.read_json(MAX_BODY))
         if req.path == '/load':
-            return answer_json(self._lagging_load())
-        return answer_json(
+            return json_response(self._lagging_load())
+        return json_response(
             {
                 'runs': self._runs,
                 'orders': self._orders,
@@ -182,7 +182,7 @@
         stream = Stream(body)
         self._runs[stream.prompt] += 1
         if POISON in stream.prompt:
-            return answer_json({'error': 'this prompt never works'}, BROKEN)
+            return json_response({'error': 'this prompt never works'}, BROKEN)
         self._waiting.append(stream)
         self._arrived.set()
         if body.get('stream'):
@@ -190,7 +190,7 @@
                 HTTPStatus.OK, self._events(stream, chat), EVENT_STREAM
             )
         text = [part async for part in _texts(stream)]
-        return answer_json(_describe(''.join(text), len(text), chat))
+        return json_response(_describe(''.join(text), len(text), chat))
 
     async def _events(
         self,
@@ -214,15 +214,15 @@
         self._slow = float(body.get('slow', self._slow))
         self._cut_after = body.get('cut_after', self._cut_after)
         self._leaving = body.get('leaving', self._leaving)
-        return answer_json({'slow': self._slow})
+        return json_response({'slow': self._slow})
 
     def _order(self, order: dict[str, Any]) -> Response:
         fence = int(order['fence'])
         if self._cfg.checks_fencing and fence < self._fence:
-            return answer_json({'error': 'old fencing number'}, OLD_FENCE)
+            return json_response({'error': 'old fencing number'}, OLD_FENCE)
         self._fence = fence
         self._orders.append(order)
-        return answer_json({'accepted': True})
+        return json_response({'accepted': True})
 
     def _report(self, now: float) -> None:
         load = {'running': len(self._running), 'waiting': len(self._waiting)}
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gentiantrestle.http.messages import Request, Response, answer_json
+from gentiantrestle.http.messages import Request, Response, json_response
 
 ROOT = '/gentiantrestle/objects/'
 MAX_BODY = 2097152  # bytes
@@ -50,12 +50,12 @@
             self._faults = await req.read_json(MAX_BODY)
             if self._faults.pop('compact', False):
                 await self._compact()
-            return answer_json({})
+            return json_response({})
         if req.path == '/calls':
-            return answer_json(self._calls)
+            return json_response(self._calls)
         self._calls.append(f'{req.method} {req.path}')
         if self._faults.get('down'):
-            return answer_json({}, REFUSED)
+            return json_response({}, REFUSED)
         await asyncio.sleep(self._faults.get('slow', 0))
         answer = await self._dispatch(req)
         if req.method != 'GET' and self._faults.get('lose', 0) > 0:
@@ -80,8 +80,8 @@
     def _answer(self, key: tuple[str, str]) -> Response:
         found = self._found.get(key)
         if found is None:
-            return answer_json({}, HTTPStatus.NOT_FOUND)
-        return answer_json(found)
+            return json_response({}, HTTPStatus.NOT_FOUND)
+        return json_response(found)
 
     async def _list(self, kind: str, query: dict[str, str]) -> Response:
         if 'watch' in query:
@@ -89,22 +89,22 @@
         found = [
             one for key, one in sorted(self._found.items()) if key[0] == kind
         ]
-        return answer_json(
+        return json_response(
             {'items': found, 'has-more': False, 'as-of': self._revision},
         )
 
     async def _watch(self, kind: str, query: dict[str, str]) -> Response:
         after = int(query['watch'])
         if after < self._oldest:
-            return answer_json({}, GONE)
+            return json_response({}, GONE)
         wait = int(query.get('wait-ms', 0)) / 1000
         try:
             async with asyncio.timeout(wait), self._changed:
                 await self._changed.wait_for(lambda: self._since(kind, after))
         except TimeoutError:
-            return answer_json({'events': [], 'as-of': self._revision})
+            return json_response({'events': [], 'as-of': self._revision})
         found = self._since(kind, after)
-        return answer_json({'events': found, 'as-of': self._revision})
+        return json_response({'events': found, 'as-of': self._revision})
 
     def _since(self, kind: str, after: int) -> list[dict[str, Any]]:
         return [
@@ -117,30 +117,30 @@
         key = (kind, told['metadata']['name'])
         known = self._found.get(key)
         if known is not None:
-            return answer_json(known, CONFLICT)
+            return json_response(known, CONFLICT)
         fresh = {'metadata': {}, 'spec': told.get('spec'), STATUS: None}
         await self._store(key, fresh)
-        return answer_json(self._found[key], HTTPStatus.CREATED)
+        return json_response(self._found[key], HTTPStatus.CREATED)
 
     async def _put(
         self, key: tuple[str, str], told: dict[str, Any], is_status: bool
     ) -> Response:
         found = self._found.get(key)
         if found is None:
-            return answer_json({}, HTTPStatus.NOT_FOUND)
+            return json_response({}, HTTPStatus.NOT_FOUND)
         wanted = told.get('metadata', {}).get('revision')
         if wanted not in {None, found['metadata']['revision']}:
-            return answer_json(found, CONFLICT)
+            return json_response(found, CONFLICT)
         field = STATUS if is_status else 'spec'
         if found[field] != told[field]:
             await self._store(key, {**found, field: told[field]})
-        return answer_json(self._found[key])
+        return json_response(self._found[key])
 
     async def _delete(self, key: tuple[str, str]) -> Response:
         found = self._found.pop(key, None)
         if found is not None:
             await self._note(key, found, deleted=True)
-        return answer_json({})
+        return json_response({})
 
     async def _store(self, key: tuple[str, str], one: dict[str, Any]) -> None:
         metadata = {
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from gentiantrestle.http.connection import ClosedError
-from gentiantrestle.http.messages import JSON, Request, Response, answer_json
+from gentiantrestle.http.connection import ConnectionClosedError
+from gentiantrestle.http.messages import JSON, Request, Response, json_response
 
 MAX_VALUE = 1024 * 1024  # bytes
 MAX_WAIT = 30.0  # seconds
@@ -37,7 +37,7 @@
     async def before(self, req: Request) -> None:
         """Delay the call, or drop it."""
         if self.outage or req.headers.get('x-zone') in self.cut_zones:
-            raise ClosedError('outage')
+            raise ConnectionClosedError('outage')
         if self.delay:
             await asyncio.sleep(self.delay)
 
@@ -45,7 +45,7 @@
         """Lose the answer of a write that has taken effect."""
         if self.lose > 0:
             self.lose -= 1
-            raise ClosedError('answer lost')
+            raise ConnectionClosedError('answer lost')
 
 
 class PlatformStandin:
@@ -78,7 +78,7 @@
             return await self._watch(req)
         if req.path == ROOT:
             self._calls['list'] += 1
-            return answer_json(self._list(req, 0))
+            return json_response(self._list(req, 0))
         name = req.path.removeprefix(f'{ROOT}/')
         if req.method == 'GET':
             self._calls['get'] += 1
@@ -90,7 +90,7 @@
         if req.method == 'POST':
             for name, setting in (await req.read_json(MAX_VALUE)).items():
                 setattr(self._faults, name, setting)
-        return answer_json(
+        return json_response(
             {
                 'calls': self._calls,
                 'revision': self._revision,
@@ -122,7 +122,7 @@
         return _answer_version(HTTPStatus.OK, Stored(written.version, b''))
 
     def _list(self, req: Request, after: int) -> dict[str, object]:
-        prefixes = tuple(req.arguments('prefix')) or ('',)
+        prefixes = tuple(req.query_values('prefix')) or ('',)
         with_bodies = 'values' in dict(req.query)
         names = sorted(
             name
@@ -155,7 +155,7 @@
         except TimeoutError:
             listed['revision'] = self._revision
         await self._faults.before(req)
-        return answer_json(listed)
+        return json_response(listed)
 
 
 def _condition_holds(headers: Mapping[str, str], stored: Stored | None) -> bool:
--- a/standins/service.py
+++ b/standins/service.py
@@ -4,8 +4,8 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from gentiantrestle.http.connection import ClosedError
-from gentiantrestle.http.messages import Request, Response, answer_json
+from gentiantrestle.http.connection import ConnectionClosedError
+from gentiantrestle.http.messages import Request, Response, json_response
 
 MAX_BODY = 1024 * 1024  # bytes
 
@@ -31,15 +31,15 @@
     async def handle(self, req: Request) -> Response:
         """Run a call, or show the counts."""
         if req.path == '/stats':
-            return answer_json({'runs': self._counts})
+            return json_response({'runs': self._counts})
         if req.path == '/control':
             body = await req.read_json(MAX_BODY)
             self._drop = bool(body.get('drop', self._drop))
             self._delay = float(body.get('delay', self._delay))
-            return answer_json({})
+            return json_response({})
         body = await req.read(MAX_BODY)
         self._counts[body.decode()] += 1
         await asyncio.sleep(self._delay)
         if self._drop:
-            raise ClosedError('dropped as asked')
-        return answer_json({'path': req.path, 'run': self._counts.total()})
+            raise ConnectionClosedError('dropped as asked')
+        return json_response({'path': req.path, 'run': self._counts.total()})
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -13,7 +13,7 @@
     EVENT_STREAM,
     Request,
     Response,
-    answer_json,
+    json_response,
 )
 
 MAX_BODY = 2097152  # bytes
@@ -44,9 +44,9 @@
         """Answer one request, as the faults in force say."""
         if req.path == '/control':
             self._faults = await req.read_json(MAX_BODY)
-            return answer_json({})
+            return json_response({})
         if req.path == '/runs':
-            return answer_json(self._runs)
+            return json_response(self._runs)
         return await self._serve(req, await req.read(MAX_BODY))
 
     async def _serve(self, req: Request, body: bytes) -> Response:
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from gentiantrestle.http.client import LostError, NotSentError
+from gentiantrestle.http.client import ConnectionLostError, NotSentError
 from gentiantrestle.models import Address
 from tests.gateway.wire import ask_raw
 from tests.gateway.wire_samples import ROUTE_HOST, SERVICE, route_docs
@@ -21,7 +21,7 @@
 WRITE_PAUSE = 0.1  # seconds
 ENDED = 5104  # the event that ends a request
 UPSTREAMS = 2
-UNREACHABLE = (NotSentError, LostError)
+UNREACHABLE = (NotSentError, ConnectionLostError)
 SETTINGS = """
 node-name = "{name}"
 ip = "{host}"
--- a/tests/gateway/memory.py
+++ b/tests/gateway/memory.py
@@ -5,8 +5,8 @@
 
 from gentiantrestle.gateway.ports import HistoryGoneError, Page, StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 
 
@@ -104,4 +104,4 @@
     def _end(self) -> None:
         if self.lose_answers:
             self.lose_answers -= 1
-            raise StoreUnsureError('lost')
+            raise StoreOutcomeUnknownError('lost')
--- a/tests/gateway/test_adapter.py
+++ b/tests/gateway/test_adapter.py
@@ -15,7 +15,7 @@
 )
 from gentiantrestle.models import Address
 from gentiantrestle.platform.dialect import PlatformDialect
-from gentiantrestle.platform.documents import StoreDocuments
+from gentiantrestle.platform.document_decoder import StoreDocumentDecoder
 from gentiantrestle.platform.settings import NodeSettings, SettingsError
 from tests.gateway.samples import make_request, make_upstream
 from tests.gateway.wire_samples import route_docs
@@ -89,24 +89,24 @@
     changes: dict[str, Any],
 ) -> None:
     stored = StoredObject('u1', 3, {**ENTRY, **changes})
-    assert StoreDocuments().read_upstream(stored) is None
+    assert StoreDocumentDecoder().read_upstream(stored) is None
 
 
 @pytest.mark.parametrize('content', [None, 7, 'text', [], {}])
 def test_what_is_no_entry_at_all_is_passed_over(content: Any) -> None:
     stored = StoredObject('u1', 3, content)
-    assert StoreDocuments().read_upstream(stored) is None
-    assert StoreDocuments().read_table(stored) is None
+    assert StoreDocumentDecoder().read_upstream(stored) is None
+    assert StoreDocumentDecoder().read_table(stored) is None
 
 
 def test_an_entry_is_decoded() -> None:
-    found = StoreDocuments().read_upstream(StoredObject('u1', 3, ENTRY))
+    found = StoreDocumentDecoder().read_upstream(StoredObject('u1', 3, ENTRY))
     assert found is not None
     assert (found.id, found.slots, found.draining) == ('u1', 8, False)
 
 
 def test_a_configuration_is_decoded_into_s() -> None:
-    found = StoreDocuments().read_table(StoredObject('main', 3, CONFIG))
+    found = StoreDocumentDecoder().read_table(StoredObject('main', 3, CONFIG))
     assert found is not None
     kinds = {one.name: one.kind for one in found.routes}
     assert kinds['chat'] is RouteKind.STREAM
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -31,8 +31,8 @@
 from gentiantrestle.gateway.peers import SILENCE_TIMEOUT
 from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 from tests.gateway.memory import MemoryStore
 from tests.gateway.samples import make_batch_route, make_job
@@ -86,7 +86,7 @@
     job_store, _ = _instance(store)
     store.lose_answers = 2
     for _ in range(2):
-        with pytest.raises(StoreUnsureError):
+        with pytest.raises(StoreOutcomeUnknownError):
             await job_store.accept(make_job())
     assert not await job_store.accept(make_job())
 
--- a/tests/gateway/test_process_operations.py
+++ b/tests/gateway/test_process_operations.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gentiantrestle.http.client import LostError
+from gentiantrestle.http.client import ConnectionLostError
 from gentiantrestle.models import Address
 from tests.gateway.fleet import ENTRIES, GatewayFleet, in_force
 from tests.gateway.wire_samples import expected_stream, route_doc, route_docs
@@ -79,7 +79,7 @@
 ) -> None:
     await fleet.harm(0, cut_after=2)
     await fleet.harm(1, cut_after=2)
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         await fleet.ask(0, 'r1', '/once/1', {'events': 9})
     lines = await until(
         lambda: [
--- a/tests/gateway/test_process_requests.py
+++ b/tests/gateway/test_process_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gentiantrestle.http.client import LostError
+from gentiantrestle.http.client import ConnectionLostError
 from tests.gateway.fleet import UPSTREAMS, GatewayFleet
 from tests.gateway.wire_samples import expected_stream
 from tests.utils.http import send_raw, until
@@ -39,7 +39,7 @@
 ) -> None:
     for number in range(UPSTREAMS):
         await fleet.harm(number, cut_after=3)
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         await fleet.ask(0, 'r1', '/once/1', {'events': 9})
     assert len(await fleet.runs()) == 1
 
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -8,8 +8,8 @@
 from gentiantrestle.gateway.ports import StoredObject
 from gentiantrestle.gateway.retrying_store import RETRY_BUDGET, RetryingStore
 from gentiantrestle.store.client import (
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
 )
 from tests.gateway.memory import MemoryStore
 from tests.utils.virtual import play, virtual_now
@@ -87,13 +87,13 @@
 
 def test_create_that_is_never_answered_raises_unsure() -> None:
     store = LossyStore(99, 'now')
-    with pytest.raises(StoreUnsureError):
+    with pytest.raises(StoreOutcomeUnknownError):
         _create(store)
     assert store.calls.count('silent') > 1
 
 
 def test_store_down_after_unanswered_create_raises_unsure() -> None:
-    with pytest.raises(StoreUnsureError):
+    with pytest.raises(StoreOutcomeUnknownError):
         _create(FailingStore(1, 'late'))
 
 
@@ -124,7 +124,7 @@
     store = LossyStore(99, 'now')
 
     async def run() -> float:
-        with pytest.raises(StoreUnsureError):
+        with pytest.raises(StoreOutcomeUnknownError):
             await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return virtual_now()
 
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -23,7 +23,7 @@
     Revisions,
     WatcherElection,
 )
-from gentiantrestle.platform.documents import StoreDocuments
+from gentiantrestle.platform.document_decoder import StoreDocumentDecoder
 from gentiantrestle.wire.peer import ttypes
 from tests.gateway.memory import MemoryStore
 from tests.gateway.samples import ENGINES, make_job
@@ -157,7 +157,7 @@
 
 
 def _copier(now: float = 0) -> tuple[StateCopier, FleetState, JobStore]:
-    state = FleetState(StoreDocuments(), 'main', lambda: now)
+    state = FleetState(StoreDocumentDecoder(), 'main', lambda: now)
     store = JobStore(MemoryStore(), JobIndex(), random.Random(1), lambda: now)
     return StateCopier(state, store, lambda: now), state, store
 
--- a/tests/gateway/wire.py
+++ b/tests/gateway/wire.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gentiantrestle.http.client import LostError
+from gentiantrestle.http.client import ConnectionLostError
 from gentiantrestle.models import Address
 from tests.utils.http import Reply
 
@@ -27,24 +27,24 @@
         writer.write('\r\n'.join(lines).encode() + payload)
         raw = await reader.read()
     except ConnectionError as exc:
-        raise LostError(repr(exc)) from exc
+        raise ConnectionLostError(repr(exc)) from exc
     finally:
         writer.close()
     return parse_reply(raw)
 
 
 def parse_reply(raw: bytes) -> Reply:
-    """Parse a whole answer; raise ``LostError`` where it was cut."""
+    """Parse a whole answer; raise ``ConnectionLostError`` where it was cut."""
     head, separator, rest = raw.partition(b'\r\n\r\n')
     if not separator:
-        raise LostError('no answer')
+        raise ConnectionLostError('no answer')
     lines = head.decode('latin-1').split('\r\n')
     fields = dict(line.lower().split(': ', 1) for line in lines[1:])
     body = rest
     if fields.get('transfer-encoding') == 'chunked':
         body = _join_chunks(rest)
     elif len(rest) < int(fields.get('content-length', '0')):
-        raise LostError('cut')
+        raise ConnectionLostError('cut')
     return Reply(int(lines[0].split()[1]), fields, body)
 
 
@@ -53,7 +53,7 @@
     while True:
         size, separator, rest = rest.partition(b'\r\n')
         if not separator:
-            raise LostError('cut')
+            raise ConnectionLostError('cut')
         length = int(size, 16)
         if not length:
             return b''.join(parts)
--- a/tests/interfaces/test_http.py
+++ b/tests/interfaces/test_http.py
@@ -5,8 +5,13 @@
 
 import pytest
 
-from gentiantrestle.http.client import Call, LostError, NotSentError, Pool
-from gentiantrestle.http.connection import Limits
+from gentiantrestle.http.client import (
+    ClientRequest,
+    ConnectionLostError,
+    ConnectionPool,
+    NotSentError,
+)
+from gentiantrestle.http.connection import ServerLimits
 from gentiantrestle.http.messages import Request, Response
 from gentiantrestle.http.server import Server
 from gentiantrestle.models import Address
@@ -16,7 +21,7 @@
 PART = b'x' * 65536
 MEBIBYTE = 1048576
 MOST_BUFFERED = 64 * MEBIBYTE
-LIMITS = Limits(
+LIMITS = ServerLimits(
     header_timeout=0.2,
     idle_timeout=0.3,
     stall_timeout=0.2,
@@ -121,10 +126,10 @@
 
 
 async def test_a_connection_is_used_again(app: App) -> None:
-    pool = Pool(app.address, 1, 1)
+    pool = ConnectionPool(app.address, 1, 1)
     ports = set()
     for _ in range(3):
-        answer, body = await pool.fetch(Call('GET', '/'))
+        answer, body = await pool.fetch(ClientRequest('GET', '/'))
         ports.add(id(answer.conn))
         assert body == b'{}'
     assert len(ports) == 1
@@ -132,25 +137,25 @@
 
 
 async def test_a_stale_connection_is_not_used(app: App) -> None:
-    pool = Pool(app.address, 1, 1)
-    await pool.fetch(Call('GET', '/'))
+    pool = ConnectionPool(app.address, 1, 1)
+    await pool.fetch(ClientRequest('GET', '/'))
     await asyncio.sleep(0.5)
-    assert (await pool.fetch(Call('GET', '/')))[1] == b'{}'
+    assert (await pool.fetch(ClientRequest('GET', '/')))[1] == b'{}'
     pool.close()
 
 
 async def test_a_cut_body_is_never_taken_as_whole(app: App) -> None:
-    pool = Pool(app.address, 1, 1)
-    with pytest.raises(LostError):
-        await pool.fetch(Call('GET', '/cut'))
-    assert (await pool.fetch(Call('GET', '/')))[1] == b'{}'
+    pool = ConnectionPool(app.address, 1, 1)
+    with pytest.raises(ConnectionLostError):
+        await pool.fetch(ClientRequest('GET', '/cut'))
+    assert (await pool.fetch(ClientRequest('GET', '/')))[1] == b'{}'
     pool.close()
 
 
 async def test_nobody_listening_means_not_sent() -> None:
-    pool = Pool(Address(HOST, free_ports(1)[0]), 1, 1)
+    pool = ConnectionPool(Address(HOST, free_ports(1)[0]), 1, 1)
     with pytest.raises(NotSentError):
-        await pool.fetch(Call('GET', '/'))
+        await pool.fetch(ClientRequest('GET', '/'))
 
 
 async def test_connections_are_bounded(app: App) -> None:
--- a/tests/interfaces/test_store.py
+++ b/tests/interfaces/test_store.py
@@ -8,15 +8,15 @@
 
 from gentiantrestle.config import Settings
 from gentiantrestle.context import Context
-from gentiantrestle.http.connection import Limits
+from gentiantrestle.http.connection import ServerLimits
 from gentiantrestle.http.server import Server
 from gentiantrestle.models import Address
 from gentiantrestle.store.client import (
     ABSENT,
-    Conflict,
     StoreClient,
+    StoreOutcomeUnknownError,
     StoreUnavailableError,
-    StoreUnsureError,
+    WriteConflict,
 )
 from standins.platform import PlatformStandin
 from tests.utils.http import send
@@ -83,7 +83,7 @@
 
 async def _run(world: dict[str, Any], expecting: str) -> None:
     standin = PlatformStandin()
-    server = Server(standin.handle, Limits())
+    server = Server(standin.handle, ServerLimits())
     await server.start(HOST, world['port'])
     store = StoreClient(build_context(world['port']))
     version = ABSENT
@@ -107,9 +107,9 @@
         written = await store.put(NAME, {'text': 'new'}, expected)
     except StoreUnavailableError:
         return 'unavailable'
-    except StoreUnsureError:
+    except StoreOutcomeUnknownError:
         return 'unsure'
-    return 'conflict' if isinstance(written, Conflict) else 'written'
+    return 'conflict' if isinstance(written, WriteConflict) else 'written'
 
 
 async def send_control_off(world: dict[str, Any]) -> None:
--- a/tests/processes/test_online.py
+++ b/tests/processes/test_online.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gentiantrestle.http.client import LostError
+from gentiantrestle.http.client import ConnectionLostError
 from standins.engine import token_text
 from tests.utils.fleet import OPERATOR_KEY, Fleet, job_lines
 from tests.utils.http import Reply, until
@@ -143,7 +143,7 @@
     first = asyncio.create_task(_quote(fleet, 0, 'key'))
     await until(lambda: fleet.service_runs())
     await fleet.daemons[0].end()
-    with pytest.raises(LostError):
+    with pytest.raises(ConnectionLostError):
         await first
     again = await _quote(fleet, 1, 'key')
     assert again.status == 409
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from gentiantrestle.http.client import (
-    Call,
     ClientConnection,
-    LostError,
+    ClientRequest,
+    ConnectionLostError,
     NotSentError,
 )
 from tests.gateway.wire_samples import ROUTE_HOST, job_doc
@@ -192,13 +192,13 @@
             ('X-Deadline-Ms', str(int(deadline * 1000))),
         )
         payload = b'' if body is None else msgspec.json.encode(body)
-        call = Call(method, path, fields, payload)
+        call = ClientRequest(method, path, fields, payload)
         sent = time.time()
         got = _Got()
         try:
             async with asyncio.timeout(deadline + 1):
                 await self._exchange(entry, call, got)
-        except (LostError, NotSentError, TimeoutError):
+        except (ConnectionLostError, NotSentError, TimeoutError):
             got.complete = False
         asked = Asked(
             name,
@@ -214,12 +214,14 @@
         self._seen.asked.append(asked)
         return asked
 
-    async def _exchange(self, entry: int, call: Call, got: '_Got') -> None:
+    async def _exchange(
+        self, entry: int, call: ClientRequest, got: '_Got'
+    ) -> None:
         conn = await self._connect(entry)
         try:
             answer = await conn.send(call, ROUTE_HOST)
             got.status = answer.status
-            async for part in conn.chunks():
+            async for part in conn.iter_body():
                 got.parts.append(part)
             got.complete = True
         finally:
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 
-from gentiantrestle.http.client import LostError, NotSentError
+from gentiantrestle.http.client import ConnectionLostError, NotSentError
 from tests.gateway.fleet import Child
 from tests.soak.proxy import DOWN, UP
 from tests.soak.world import World
@@ -112,7 +112,7 @@
 
 async def _harm(address: object, world: World, faults: dict) -> None:
     child = world.standins[address]
-    with suppress(NotSentError, LostError):
+    with suppress(NotSentError, ConnectionLostError):
         if child.runs:
             await world.harm(world.upstreams.index(address), **faults)
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from gentiantrestle.http.client import LostError, NotSentError
+from gentiantrestle.http.client import ConnectionLostError, NotSentError
 from gentiantrestle.models import Address
 from tests.gateway.fleet import GatewayFleet
 from tests.gateway.wire_samples import route_doc, route_docs
@@ -109,7 +109,7 @@
     async def _answers(self, number: int) -> bool:
         try:
             await self.harm(number)
-        except (NotSentError, LostError):
+        except (NotSentError, ConnectionLostError):
             return False
         return True
 
--- a/tests/utils/fleet.py
+++ b/tests/utils/fleet.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from gentiantrestle.http.client import LostError, NotSentError
+from gentiantrestle.http.client import ConnectionLostError, NotSentError
 from gentiantrestle.models import Address
 from tests.utils.http import Reply, send, until
 from tests.utils.ports import HOST, free_ports
@@ -20,7 +20,7 @@
 CLIENT_KEY = 'client-key'
 OTHER_KEY = 'other-key'
 SLOTS = 8
-UNREACHABLE = (NotSentError, LostError)
+UNREACHABLE = (NotSentError, ConnectionLostError)
 
 
 def hash_of(key: str) -> str:
--- a/tests/utils/http.py
+++ b/tests/utils/http.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gentiantrestle.http.client import Call, ClientConnection
+from gentiantrestle.http.client import ClientConnection, ClientRequest
 from gentiantrestle.models import Address
 
 CONNECT_TIMEOUT = 2.0  # seconds
@@ -39,7 +39,7 @@
     conn = await ClientConnection.open(address, CONNECT_TIMEOUT)
     try:
         answer = await conn.send(
-            Call(method, target, fields, body),
+            ClientRequest(method, target, fields, body),
             str(address),
         )
         whole = await answer.read()
--- a/tests/utils/zones.py
+++ b/tests/utils/zones.py
@@ -8,7 +8,7 @@
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.membership.peers import PeerError
 from gentiantrestle.daemon.tree import Tree
-from gentiantrestle.http.connection import Limits
+from gentiantrestle.http.connection import ServerLimits
 from gentiantrestle.http.server import Server
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer.ttypes import Envelope
@@ -120,7 +120,7 @@
         handle: Callable[..., Awaitable[Any]],
         address: Address,
     ) -> None:
-        server = Server(handle, Limits())
+        server = Server(handle, ServerLimits())
         await server.start(*address)
         self._servers.append(server)
 
