--- a/gentiantrestle/daemon/batch/item.py
+++ b/gentiantrestle/daemon/batch/item.py
@@ -143,7 +143,7 @@
         )
         pool = slot.upstream.pool
         async with asyncio.timeout(self._tools.ctx.cfg.answer_timeout):
-            answer = await pool.call(call)
+            answer = await pool.send(call)
         try:
             if answer.status >= CLIENT_ERROR:
                 return await self._refused(slot, answer)
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -107,7 +107,7 @@
         )
         try:
             async with asyncio.timeout(self._ctx.cfg.answer_timeout):
-                answer = await self.upstream.pool.call(call)
+                answer = await self.upstream.pool.send(call)
         except NotSentError as exc:
             raise self._record_failure(
                 Stage.NOT_SENT, NO_UPSTREAM, exc
--- a/gentiantrestle/http/client.py
+++ b/gentiantrestle/http/client.py
@@ -173,7 +173,7 @@
         self._slots = asyncio.Semaphore(size)
         self._idle: list[ClientConnection] = []
 
-    async def call(self, call: ClientRequest) -> ClientResponse:
+    async def send(self, call: ClientRequest) -> ClientResponse:
         """Send a call; its answer must be given to ``release`` at last."""
         await self._slots.acquire()
         conn = None
@@ -196,7 +196,7 @@
 
     async def fetch(self, call: ClientRequest) -> tuple[ClientResponse, bytes]:
         """Send a call and collect its whole answer."""
-        answer = await self.call(call)
+        answer = await self.send(call)
         try:
             body = await answer.read()
         finally:
