--- a/gentiantrestle/http/__init__.py
+++ b/gentiantrestle/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on both sides: callers and peers of the usual protocols."""
+"""HTTP/1.1 servers and clients over h11."""
--- a/gentiantrestle/http/client.py
+++ b/gentiantrestle/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections to other servers, kept and bounded."""
+"""HTTP/1.1 client connections, and a bounded pool that reuses them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,20 +11,20 @@
 from gentiantrestle.models import Address
 
 READ_SIZE = 65536  # bytes
-MAX_KEPT = 64
+MAX_IDLE = 64  # connections
 MAX_HEADER = 65536  # bytes
 
 
 class NotSentError(Exception):
-    """No byte of the request has left: it was not run."""
+    """Connecting failed; no byte of the request was sent, so it was not run."""
 
 
 class ConnectionLostError(Exception):
-    """The connection was lost after bytes of the request had left."""
+    """The connection failed after sending began; the request may have run."""
 
 
 class ClientRequest(NamedTuple):
-    """A request to send."""
+    """One request; Host and Content-Length are added when it is sent."""
 
     method: str
     target: str
@@ -33,14 +33,14 @@
 
 
 class ClientConnection:
-    """One connection to a server; one call at a time."""
+    """One connection to a server; it carries one request at a time."""
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Wrap the streams in the protocol's state machine."""
+        """Wrap the streams in an h11 client state machine."""
         self._reader = reader
         self._writer = writer
         self._h11 = h11.Connection(
@@ -50,7 +50,7 @@
 
     @classmethod
     async def open(cls, address: Address, timeout: float) -> 'ClientConnection':
-        """Connect, or raise ``NotSentError``."""
+        """Connect within ``timeout`` s, or raise ``NotSentError``."""
         try:
             async with asyncio.timeout(timeout):
                 streams = await asyncio.open_connection(
@@ -64,7 +64,7 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether another call can be sent."""
+        """Whether another request can be sent on this connection."""
         return (
             self._h11.our_state is h11.IDLE
             and self._h11.their_state is h11.IDLE
@@ -72,52 +72,58 @@
             and not self._writer.transport.is_closing()
         )
 
-    async def send(self, call: ClientRequest, host: str) -> 'ClientResponse':
-        """Send a call and wait for the head of its answer."""
+    async def send(self, req: ClientRequest, host: str) -> 'ClientResponse':
+        """Send a request; return its response once the head has arrived.
+
+        Raises ``ConnectionLostError``.
+        """
         head = h11.Request(
-            method=call.method,
-            target=call.target,
+            method=req.method,
+            target=req.target,
             headers=[
                 ('Host', host),
-                ('Content-Length', str(len(call.body))),
-                *call.headers,
+                ('Content-Length', str(len(req.body))),
+                *req.headers,
             ],
         )
-        sent = self._h11.send(head)
-        sent += self._h11.send(h11.Data(data=call.body))
-        sent += self._h11.send(h11.EndOfMessage())
+        payload = self._h11.send(head)
+        payload += self._h11.send(h11.Data(data=req.body))
+        payload += self._h11.send(h11.EndOfMessage())
         try:
-            self._writer.write(sent)
+            self._writer.write(payload)
             await self._writer.drain()
         except ConnectionError as exc:
             raise ConnectionLostError(f'{host}: {exc!r}') from exc
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 return ClientResponse(
                     event.status_code, event.headers.raw_items(), self
                 )
 
     async def iter_body(self) -> AsyncIterator[bytes]:
-        """Pass on the parts of the answer's body until it is whole."""
+        """Yield the response body until it is complete.
+
+        Raises ``ConnectionLostError`` if the connection fails before that.
+        """
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._finish()
+                self._reset_when_done()
                 return
 
     def close(self) -> None:
         """Close the connection without waiting."""
         self._writer.close()
 
-    def _finish(self) -> None:
+    def _reset_when_done(self) -> None:
         states = (self._h11.our_state, self._h11.their_state)
         if states == (h11.DONE, h11.DONE):
             self._h11.start_next_cycle()
 
-    async def _event(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         try:
             event = self._h11.next_event()
             while event is h11.NEED_DATA:
@@ -126,85 +132,90 @@
         except (h11.RemoteProtocolError, ConnectionError) as exc:
             raise ConnectionLostError(repr(exc)) from exc
         if isinstance(event, h11.ConnectionClosed):
-            raise ConnectionLostError('closed early')
+            raise ConnectionLostError(
+                'connection closed before the response was complete'
+            )
         return event
 
 
 class ClientResponse(NamedTuple):
-    """The head of an answer, and the connection its body comes on."""
+    """The head of a response, and the connection that carries its body."""
 
     status: int
     raw_headers: HeaderPairs
     conn: ClientConnection
 
     def header(self, name: str) -> str:
-        """Return one header field or an empty text."""
+        """Return a header field, or an empty string if there is none."""
         wanted = name.lower().encode()
         for key, text in self.raw_headers:
             if key.lower() == wanted:
                 return text.decode('latin-1')
         return ''
 
-    async def iter_body(self, stall: float) -> AsyncIterator[bytes]:
-        """Pass the body on; raise ``TimeoutError`` when it stalls.
+    async def iter_body(self, stall_timeout: float) -> AsyncIterator[bytes]:
+        """Yield the body; raise ``TimeoutError`` if it stalls.
 
-        ``stall`` is the longest pause between two parts, in s.
+        ``stall_timeout`` is the longest wait for the next part, in s.
         """
-        async with aclosing(self.conn.iter_body()) as iter_body:
+        async with aclosing(self.conn.iter_body()) as parts:
             while True:
-                async with asyncio.timeout(stall):
-                    part = await anext(iter_body, None)
+                async with asyncio.timeout(stall_timeout):
+                    part = await anext(parts, None)
                 if part is None:
                     return
                 yield part
 
     async def read(self) -> bytes:
-        """Collect the whole body."""
+        """Read the whole body."""
         return b''.join([part async for part in self.conn.iter_body()])
 
 
 class ConnectionPool:
-    """Kept connections to one address, at most ``size`` at a time."""
+    """Reusable connections to one address, at most ``size`` in use."""
 
     def __init__(self, address: Address, size: int, timeout: float) -> None:
-        """Start empty; connections are opened when needed."""
+        """Open connections on demand, each within ``timeout`` s."""
         self.address = address
         self._timeout = timeout
-        self._slots = asyncio.Semaphore(size)
+        self._semaphore = asyncio.Semaphore(size)
         self._idle: list[ClientConnection] = []
 
-    async def send(self, call: ClientRequest) -> ClientResponse:
-        """Send a call; its answer must be given to ``release`` at last."""
-        await self._slots.acquire()
+    async def send(self, req: ClientRequest) -> ClientResponse:
+        """Send a request; the caller must ``release`` its response.
+
+        Raises ``NotSentError`` and ``ConnectionLostError``.
+        """
+        await self._semaphore.acquire()
         conn = None
         try:
             conn = await self._connect()
-            return await conn.send(call, str(self.address))
+            return await conn.send(req, str(self.address))
         except BaseException:
-            self._slots.release()
+            self._semaphore.release()
             if conn is not None:
                 conn.close()
             raise
 
-    def release(self, answer: ClientResponse) -> None:
-        """Take a connection back; one in mid-answer is closed."""
-        self._slots.release()
-        if answer.conn.usable and len(self._idle) < MAX_KEPT:
-            self._idle.append(answer.conn)
+    def release(self, response: ClientResponse) -> None:
+        """Take a connection back; close it if it can't be reused."""
+        self._semaphore.release()
+        if response.conn.usable and len(self._idle) < MAX_IDLE:
+            self._idle.append(response.conn)
             return
-        answer.conn.close()
+        response.conn.close()
 
-    async def fetch(self, call: ClientRequest) -> tuple[ClientResponse, bytes]:
-        """Send a call and collect its whole answer."""
-        answer = await self.send(call)
+    async def fetch(self, req: ClientRequest) -> tuple[ClientResponse, bytes]:
+        """Send a request and read its whole response."""
+        response = await self.send(req)
         try:
-            body = await answer.read()
+            body = await response.read()
         finally:
-            self.release(answer)
-        return answer, body
+            self.release(response)
+        return response, body
 
     def close(self) -> None:
-        """Close the connections that are not in use."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
--- a/gentiantrestle/http/connection.py
+++ b/gentiantrestle/http/connection.py
@@ -1,4 +1,4 @@
-"""One caller's HTTP/1.1 connection, bounded in size and time."""
+"""One caller's HTTP/1.1 connection, with limits on size and time."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -18,7 +18,7 @@
 from gentiantrestle.http.messages import Request, Response, refusal_response
 
 READ_SIZE = 65536  # bytes
-WRITE_BUFFER = 65536  # bytes
+MAX_WRITE_BUFFER = 65536  # bytes
 MAX_HEADER = 16384  # bytes
 LINGER_TIME = 0.5  # seconds
 
@@ -26,7 +26,7 @@
 
 
 class ServerLimits(NamedTuple):
-    """Bounds of one server."""
+    """Limits of one server; timeouts are in s."""
 
     header_timeout: float = 10
     idle_timeout: float = 75
@@ -35,11 +35,11 @@
 
 
 class ConnectionClosedError(Exception):
-    """The other side left, or stalled beyond the bounds."""
+    """The caller disconnected, or stayed idle or stalled for too long."""
 
 
 class ServerConnection:
-    """One caller's connection: requests in turn, answers streamed."""
+    """One caller's connection: requests in sequence, streamed responses."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         writer: asyncio.StreamWriter,
         limits: ServerLimits,
     ) -> None:
-        """Wrap the streams in the protocol's state machine."""
+        """Wrap the streams in an h11 server state machine."""
         self._reader = reader
         self._writer = writer
         self._limits = limits
@@ -55,15 +55,15 @@
             h11.SERVER,
             max_incomplete_event_size=MAX_HEADER,
         )
-        self.started = False
+        self.busy = False
 
     async def serve(self, handle: Handler, stopping: asyncio.Event) -> None:
-        """Answer requests until either side closes."""
+        """Handle requests until either side closes or ``stopping`` is set."""
         while not stopping.is_set():
             head = await self._read_head(stopping)
             if head is None:
                 return
-            await self._answer(head, handle, stopping)
+            await self._respond(head, handle, stopping)
             if self._h11.our_state is not h11.DONE:
                 return
             if self._h11.their_state is not h11.DONE:
@@ -71,7 +71,7 @@
             self._h11.start_next_cycle()
 
     async def refuse(self, exc: RefusedError) -> None:
-        """Answer with a refusal where the state still allows one."""
+        """Send a refusal, unless a response has already been started."""
         if self._h11.our_state in {h11.IDLE, h11.SEND_RESPONSE}:
             response = refusal_response(exc.refusal)
             await self._send(response, close=True)
@@ -82,7 +82,7 @@
         self._writer.close()
 
     async def _read_head(self, stopping: asyncio.Event) -> h11.Request | None:
-        patience = self._limits.idle_timeout
+        timeout = self._limits.idle_timeout
         while True:
             event = self._next_event()
             if isinstance(event, h11.Request):
@@ -90,21 +90,23 @@
             if event is not h11.NEED_DATA:
                 return None
             if self._h11.trailing_data[0]:
-                patience = self._limits.header_timeout
-            await self._receive(patience, stopping)
+                timeout = self._limits.header_timeout
+            await self._receive(timeout, stopping)
 
     async def _receive(
         self,
-        patience: float,
+        timeout: float,
         stopping: asyncio.Event | None = None,
     ) -> None:
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 received = await self._reader.read(READ_SIZE)
         except TimeoutError:
             if not self._h11.trailing_data[0] and stopping is not None:
                 raise ConnectionClosedError('idle') from None
-            raise refuse(TIMED_OUT, 'The request came too slowly') from None
+            raise refuse(
+                TIMED_OUT, 'The request did not arrive in time'
+            ) from None
         except ConnectionError as exc:
             raise ConnectionClosedError('reset') from exc
         self._h11.receive_data(received)
@@ -118,8 +120,8 @@
                 kind = HEADERS_TOO_LARGE
             raise refuse(kind, f'Not valid HTTP: {exc}') from None
 
-    async def _body(self) -> AsyncIterator[bytes]:
-        self._go_on()
+    async def _iter_body(self) -> AsyncIterator[bytes]:
+        self._send_continue()
         while True:
             event = self._next_event()
             if isinstance(event, h11.Data):
@@ -128,19 +130,21 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if event is not h11.NEED_DATA:
-                raise ConnectionClosedError('body cut')
+                raise ConnectionClosedError(
+                    'connection closed within the request body'
+                )
             await self._receive(self._limits.stall_timeout)
 
-    def _go_on(self) -> None:
-        """Let a caller send its body that waits for our consent."""
+    def _send_continue(self) -> None:
+        """Send 100 Continue if the caller waits for it before its body."""
         if self._h11.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(
+            interim = h11.InformationalResponse(
                 status_code=HTTPStatus.CONTINUE,
                 headers=[],
             )
-            self._writer.write(self._h11.send(go_on))
+            self._writer.write(self._h11.send(interim))
 
-    async def _answer(
+    async def _respond(
         self,
         head: h11.Request,
         handle: Handler,
@@ -153,20 +157,24 @@
                 name.decode(): text.decode('latin-1')
                 for name, text in head.headers
             },
-            self._body(),
+            self._iter_body(),
         )
-        self.started = True
+        self.busy = True
         response = await handle(req)
         if self._h11.their_state is h11.SEND_BODY:
             await self._skip_body(req)
         unread = self._h11.their_state is not h11.DONE
         await self._send(response, close=unread or stopping.is_set())
-        self.started = False
+        self.busy = False
         if unread:
             await self._linger()
 
     async def _linger(self) -> None:
-        """Read on for a moment, so that a reset does not eat the answer."""
+        """Read on briefly before closing.
+
+        Closing with unread bytes resets the connection, and the caller may
+        lose the response.
+        """
         with suppress(OSError, TimeoutError):
             self._writer.write_eof()
             async with asyncio.timeout(LINGER_TIME):
@@ -174,7 +182,7 @@
                     await asyncio.sleep(0)
 
     async def _skip_body(self, req: Request) -> None:
-        """Read a short rest, so that the answer is not lost to a reset."""
+        """Read a short rest of the body; unread, it would cause a reset."""
         with suppress(RefusedError, ConnectionClosedError):
             await req.read(MAX_HEADER)
 
@@ -200,21 +208,23 @@
         await self._write(self._h11.send(h11.EndOfMessage()))
 
     async def _send_whole(self, head: h11.Response, body: bytes) -> None:
-        sent = self._h11.send(head)
-        sent += self._h11.send(h11.Data(data=body))
-        sent += self._h11.send(h11.EndOfMessage())
-        await self._write(sent)
+        payload = self._h11.send(head)
+        payload += self._h11.send(h11.Data(data=body))
+        payload += self._h11.send(h11.EndOfMessage())
+        await self._write(payload)
 
-    async def _write(self, sent: bytes) -> None:
+    async def _write(self, payload: bytes) -> None:
         transport = self._writer.transport
         if transport.is_closing():
-            raise ConnectionClosedError('caller left')
-        self._writer.write(sent)
-        if transport.get_write_buffer_size() <= WRITE_BUFFER:
+            raise ConnectionClosedError('caller disconnected')
+        self._writer.write(payload)
+        if transport.get_write_buffer_size() <= MAX_WRITE_BUFFER:
             return
         try:
             async with asyncio.timeout(self._limits.stall_timeout):
                 await self._writer.drain()
         except (TimeoutError, ConnectionError) as exc:
             transport.abort()
-            raise ConnectionClosedError('caller stalled') from exc
+            raise ConnectionClosedError(
+                'caller stalled or disconnected'
+            ) from exc
--- a/gentiantrestle/http/link.py
+++ b/gentiantrestle/http/link.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection as a protocol: raw headers, leaving, resets."""
+"""One HTTP/1.1 connection as an asyncio protocol over h11."""
 
 import asyncio
 import socket
@@ -12,42 +12,42 @@
 HeaderPairs: TypeAlias = list[tuple[bytes, bytes]]
 Role: TypeAlias = type[h11.CLIENT] | type[h11.SERVER]
 
-HIGH_WATER = 262144  # bytes unread before the peer is told to pause
+HIGH_WATER = 262144  # unread bytes above which reading is paused
 KEEPALIVE_IDLE = 1  # seconds of silence before the first probe
 KEEPALIVE_INTERVAL = 1  # seconds between two probes
-KEEPALIVE_COUNT = 2  # unanswered probes that end a connection
-UNACKED_LIMIT = 2500  # ms that sent bytes may stay unacknowledged
+KEEPALIVE_COUNT = 2  # unanswered probes that close a connection
+UNACKED_TIMEOUT = 2500  # ms that sent bytes may stay unacknowledged
 
 
 class LinkLostError(Exception):
-    """The connection was reset, or ended before the message was whole."""
+    """The connection was reset, or closed before the message was complete."""
 
 
 class RequestNotSentError(Exception):
-    """The connection was never made: no byte of a request has left."""
+    """No byte of the request was sent: connecting or encoding it failed."""
 
 
 class Link(asyncio.Protocol):
-    """Feeds one connection's bytes into the protocol's state machine."""
+    """One connection whose bytes are fed into an h11 state machine."""
 
     def __init__(
         self,
         role: Role,
         header_limit: int,
-        made: Callable[['Link'], None] | None = None,
+        on_connected: Callable[['Link'], None] | None = None,
     ) -> None:
-        """Take the side to play; ``header_limit`` is in bytes.
+        """Act as client or server; ``header_limit`` is in bytes.
 
-        ``made`` is called once the connection stands.
+        ``on_connected`` is called once the connection is made.
         """
-        self._made = made
+        self._on_connected = on_connected
         self.machine = h11.Connection(
             role,
             max_incomplete_event_size=header_limit,
         )
         self.eof_seen = False
         self.lost = False
-        self._leave_hook: asyncio.Task[None] | None = None
+        self._task_to_cancel: asyncio.Task[None] | None = None
         self._transport: asyncio.Transport | None = None
         self._arrived = asyncio.Event()
         self._writable = asyncio.Event()
@@ -55,14 +55,14 @@
         self._unread = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and let the kernel probe silent peers."""
+        """Keep the transport and enable TCP keepalive."""
         self._transport = transport
-        probe_silence(transport.get_extra_info('socket'))
-        if self._made is not None:
-            self._made(self)
+        enable_keepalive(transport.get_extra_info('socket'))
+        if self._on_connected is not None:
+            self._on_connected(self)
 
     def data_received(self, received: bytes) -> None:
-        """Feed the state machine; pause a peer that is far ahead."""
+        """Feed the state machine; pause reading above the high-water mark."""
         self.machine.receive_data(received)
         self._unread += len(received)
         if self._unread > HIGH_WATER:
@@ -70,41 +70,41 @@
         self._arrived.set()
 
     def eof_received(self) -> bool:
-        """Note the peer's orderly end; it counts as leaving."""
+        """Handle the peer's EOF as a disconnect; keep the transport open."""
         self.eof_seen = True
         self.machine.receive_data(b'')
         self._arrived.set()
-        self._tell_leaving()
+        self._cancel_task()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever reads or writes: nothing more will come."""
+        """Wake readers and writers: nothing more will arrive."""
         self.lost = True
         self._arrived.set()
         self._writable.set()
-        self._tell_leaving()
+        self._cancel_task()
 
     def pause_writing(self) -> None:
-        """Make writers wait until the peer reads on."""
+        """Make ``send`` wait until the peer reads on."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Let ``send`` continue."""
         self._writable.set()
 
     @property
     def disconnected(self) -> bool:
-        """Tell whether the peer has ended or lost the connection."""
+        """Whether the peer has sent EOF or the connection is lost."""
         return self.eof_seen or self.lost
 
     def cancel_on_disconnect(self, task: asyncio.Task[None] | None) -> None:
-        """Cancel ``task`` as soon as the peer leaves; None stops that."""
-        self._leave_hook = task
+        """Cancel ``task`` once the peer disconnects; None: cancel nothing."""
+        self._task_to_cancel = task
         if task is not None and self.disconnected:
             task.cancel()
 
     async def wait_readable(self) -> bool:
-        """Wait for the first bytes of a message; False when none come."""
+        """Wait for the first bytes of a message; False if none will come."""
         while not self.machine.trailing_data[0]:
             if self.disconnected:
                 return False
@@ -112,9 +112,9 @@
         return True
 
     async def next_event(self) -> h11.Event:
-        """Return the next event, or raise ``LinkLostError``.
+        """Return the next h11 event; raise ``LinkLostError`` on a reset.
 
-        Raises ``h11.RemoteProtocolError`` for bytes that are not HTTP.
+        Raises ``h11.RemoteProtocolError`` for invalid HTTP.
         """
         while True:
             event = self.machine.next_event()
@@ -125,7 +125,10 @@
             await self._receive()
 
     async def send(self, *parts: h11.Event) -> None:
-        """Write events in one go; wait while the peer does not read."""
+        """Write events at once; wait while the write buffer is full.
+
+        Raises ``LinkLostError`` and ``h11.LocalProtocolError``.
+        """
         payload = b''.join(self.machine.send(part) or b'' for part in parts)
         if self.lost:
             raise LinkLostError('reset')
@@ -134,12 +137,12 @@
             await self._writable.wait()
 
     def close(self) -> None:
-        """Close after what was written has left."""
+        """Close once all buffered bytes are written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Reset the connection: the peer sees that it was cut."""
+        """Drop the connection at once, so that the peer sees the cut."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -150,9 +153,9 @@
             self._transport.resume_reading()
         await self._arrived.wait()
 
-    def _tell_leaving(self) -> None:
-        if self._leave_hook is not None:
-            self._leave_hook.cancel()
+    def _cancel_task(self) -> None:
+        if self._task_to_cancel is not None:
+            self._task_to_cancel.cancel()
 
 
 async def open_link(
@@ -174,15 +177,15 @@
     return link
 
 
-def probe_silence(sock: socket.socket | None) -> None:
-    """Make the kernel end a connection whose peer is silent for seconds."""
+def enable_keepalive(sock: socket.socket | None) -> None:
+    """Let the kernel close a connection whose peer is silent for seconds."""
     if sock is None:
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, bound in (
+    for option, limit in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
         (socket.TCP_KEEPCNT, KEEPALIVE_COUNT),
-        (socket.TCP_USER_TIMEOUT, UNACKED_LIMIT),
+        (socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT),
     ):
-        sock.setsockopt(socket.IPPROTO_TCP, option, bound)
+        sock.setsockopt(socket.IPPROTO_TCP, option, limit)
--- a/gentiantrestle/http/messages.py
+++ b/gentiantrestle/http/messages.py
@@ -17,54 +17,54 @@
 
 
 class Request:
-    """One request: its line, its header fields, and its body to read."""
+    """One request: method, target, header fields, and a body to read."""
 
     def __init__(
         self,
         method: str,
         target: str,
         headers: Mapping[str, str],
-        chunks: AsyncIterator[bytes],
+        body_parts: AsyncIterator[bytes],
     ) -> None:
-        """Split the target; the body stays unread."""
+        """Split the target into path and query; the body stays unread."""
         path, _, query = target.partition('?')
         self.method = method
         self.path = unquote(path)
         self.query = parse_qsl(query)
         self.headers = headers
-        self.chunks = chunks
+        self.body_parts = body_parts
 
     def query_values(self, name: str) -> list[str]:
-        """Return every value of one query argument."""
+        """Return all values of a query parameter."""
         return [text for key, text in self.query if key == name]
 
     @property
     def body_size(self) -> int:
-        """Size of the body in bytes, or 0 if the caller did not say."""
-        told = self.headers.get('content-length', '')
-        return int(told) if told.isdigit() else 0
+        """Declared size of the body in bytes; 0 if not declared."""
+        declared = self.headers.get('content-length', '')
+        return int(declared) if declared.isdigit() else 0
 
     async def read(self, limit: int) -> bytes:
-        """Collect the body; refuse one above ``limit`` bytes."""
+        """Read the whole body; refuse one above ``limit`` bytes."""
         parts = [part async for part in self.iter_body(limit)]
         return b''.join(parts)
 
     async def iter_body(self, limit: int) -> AsyncIterator[bytes]:
-        """Pass body parts on; refuse once ``limit`` bytes are passed."""
+        """Yield the body; refuse it once it exceeds ``limit`` bytes."""
         size = 0
-        async for part in self.chunks:
+        async for part in self.body_parts:
             size += len(part)
             if size > limit:
                 raise refuse(TOO_LARGE, f'The body is above {limit} bytes')
             yield part
 
     async def read_json(self, limit: int) -> dict[str, Any]:
-        """Collect the body as one JSON object."""
+        """Read the body as a JSON object; refuse anything else."""
         return decode_json_object(await self.read(limit))
 
 
 class Response(NamedTuple):
-    """An answer: a whole body, or a stream of parts."""
+    """A response with a whole body or a stream of parts."""
 
     status: int = OK
     body: bytes | AsyncIterator[bytes] = b''
@@ -73,7 +73,7 @@
 
 
 def decode_json_object(body: bytes) -> dict[str, Any]:
-    """Read a JSON object, or refuse the body with the place of the fault."""
+    """Decode a JSON object, or refuse the body and say where it is wrong."""
     try:
         return msgspec.json.decode(body, type=dict[str, Any])
     except msgspec.DecodeError as exc:
@@ -84,12 +84,12 @@
 
 
 def json_response(document: Any, status: int = OK) -> Response:
-    """Answer with a JSON document."""
+    """Build a response from a JSON document."""
     return Response(status, msgspec.json.Encoder().encode_lines([document]))
 
 
 def error_document(refusal: Refusal) -> dict[str, Any]:
-    """Describe a refusal in the error shape of this ecosystem."""
+    """Return a refusal as the JSON error object that callers expect."""
     return {
         'error': {
             'type': refusal.kind.name,
@@ -101,7 +101,7 @@
 
 
 def refusal_response(refusal: Refusal) -> Response:
-    """Answer with a refusal, its remedy and whether the work was run."""
+    """Build the response to a refusal: remedy, and whether the work ran."""
     headers = [('X-Run', refusal.kind.run.value)]
     if refusal.retry_after is not None:
         headers.append(('Retry-After', str(refusal.retry_after)))
--- a/gentiantrestle/http/server.py
+++ b/gentiantrestle/http/server.py
@@ -1,4 +1,4 @@
-"""Accept HTTP/1.1 connections, and stop without cutting requests."""
+"""HTTP/1.1 server that finishes running requests before it stops."""
 
 import asyncio
 from contextlib import suppress
@@ -25,23 +25,23 @@
 
 
 class Server:
-    """Accepts connections and stops without cutting a request."""
+    """Accepts connections; a stop waits for running requests."""
 
     def __init__(self, handle: Handler, limits: ServerLimits) -> None:
-        """Serve with ``handle`` within ``limits``."""
+        """Pass each request to ``handle``, within ``limits``."""
         self._handle = handle
         self._limits = limits
-        self._open: dict[asyncio.Task[None], ServerConnection] = {}
+        self._connections: dict[asyncio.Task[None], ServerConnection] = {}
         self._stopping = asyncio.Event()
         self._server: asyncio.Server | None = None
 
     @property
     def active(self) -> int:
-        """Count the requests that are being answered."""
-        return sum(conn.started for conn in self._open.values())
+        """Number of requests in flight."""
+        return sum(conn.busy for conn in self._connections.values())
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port."""
+        """Listen; return the port, which is a free one for port 0."""
         self._server = await asyncio.start_server(
             self._accept,
             host,
@@ -52,19 +52,19 @@
         return self._server.sockets[0].getsockname()[1]
 
     async def stop(self, grace: float) -> int:
-        """Finish running requests; return how many were cut."""
+        """Wait up to ``grace`` s for requests; return how many were cut."""
         self._stopping.set()
         if self._server is not None:
             self._server.close()
-        for task, conn in tuple(self._open.items()):
-            if not conn.started:
+        for task, conn in tuple(self._connections.items()):
+            if not conn.busy:
                 task.cancel()
-        if self._open:
-            await asyncio.wait(tuple(self._open), timeout=grace)
+        if self._connections:
+            await asyncio.wait(tuple(self._connections), timeout=grace)
         cut = self.active
-        for task in tuple(self._open):
+        for task in tuple(self._connections):
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._connections, return_exceptions=True)
         return cut
 
     async def _accept(
@@ -74,8 +74,8 @@
     ) -> None:
         conn = ServerConnection(reader, writer, self._limits)
         task = asyncio.current_task()
-        full = len(self._open) >= self._limits.max_connections
-        self._open[task] = conn
+        full = len(self._connections) >= self._limits.max_connections
+        self._connections[task] = conn
         try:
             if full:
                 raise refuse(OVERLOADED, 'Too many connections', 1)
@@ -88,7 +88,7 @@
         except asyncio.CancelledError:
             return
         finally:
-            self._open.pop(task, None)
+            self._connections.pop(task, None)
             conn.close()
 
     async def _safe_handle(self, req: Request) -> Response:
@@ -100,5 +100,7 @@
             raise
         except Exception as exc:  # noqa: BLE001 (answered and logged)
             events.emit(events.REQUEST_FAILED, error=repr(exc))
-            failure = refuse(INTERNAL, 'The request failed inside')
+            failure = refuse(
+                INTERNAL, 'Internal error while handling the request'
+            )
             return refusal_response(failure.refusal)
--- a/tests/interfaces/test_http.py
+++ b/tests/interfaces/test_http.py
@@ -1,4 +1,4 @@
-"""Contract of the HTTP server and client: bounds, keep-alive, cuts."""
+"""Contract of the HTTP server and client: limits, keep-alive, cuts."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 
 PART = b'x' * 65536
 MEBIBYTE = 1048576
-MOST_BUFFERED = 64 * MEBIBYTE
+MAX_BUFFERED = 64 * MEBIBYTE
 LIMITS = ServerLimits(
     header_timeout=0.2,
     idle_timeout=0.3,
@@ -29,16 +29,16 @@
 )
 
 
-class Endless:
-    """A stream without end that counts what was taken from it."""
+class EndlessBody:
+    """A body without end that counts the bytes read from it."""
 
     def __init__(self) -> None:
-        self.taken = 0
+        self.bytes_read = 0
         self.closed = False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         while True:
-            self.taken += len(PART)
+            self.bytes_read += len(PART)
             yield PART
             await asyncio.sleep(0)
 
@@ -47,15 +47,15 @@
 
 
 class App:
-    """Handlers of the tests, by path."""
+    """Server under test with a handler for each path."""
 
     def __init__(self) -> None:
-        self.endless = Endless()
+        self.endless = EndlessBody()
         self.server = Server(self.handle, LIMITS)
         self.address = Address(HOST, free_ports(1)[0])
 
     async def handle(self, req: Request) -> Response:
-        """Answer by path."""
+        """Respond according to the path."""
         if req.path == '/endless':
             return Response(body=self.endless)
         if req.path == '/cut':
@@ -71,18 +71,18 @@
 
 @pytest.fixture
 async def app() -> AsyncIterator[App]:
-    """Serve the handlers."""
-    served = App()
-    await served.server.start(*served.address)
-    yield served
-    await served.server.stop(0)
+    """Start the server, and stop it after the test."""
+    running = App()
+    await running.server.start(*running.address)
+    yield running
+    await running.server.stop(0)
 
 
-async def test_a_reader_that_stalls_is_cut(app: App) -> None:
+async def test_stalled_reader_is_cut_with_bounded_buffering(app: App) -> None:
     _reader, writer = await asyncio.open_connection(*app.address)
     writer.write(b'GET /endless HTTP/1.1\r\nHost: x\r\n\r\n')
     await until(lambda: app.endless.closed)
-    assert app.endless.taken < MOST_BUFFERED
+    assert app.endless.bytes_read < MAX_BUFFERED
     writer.close()
 
 
@@ -117,7 +117,7 @@
         ),
     ],
 )
-async def test_slow_and_odd_requests(
+async def test_slow_or_unusual_request_gets_expected_response(
     app: App,
     sent: bytes,
     answer: bytes,
@@ -125,18 +125,18 @@
     assert answer in await send_raw(app.address, sent)
 
 
-async def test_a_connection_is_used_again(app: App) -> None:
+async def test_connection_is_reused(app: App) -> None:
     pool = ConnectionPool(app.address, 1, 1)
-    ports = set()
+    conn_ids = set()
     for _ in range(3):
-        answer, body = await pool.fetch(ClientRequest('GET', '/'))
-        ports.add(id(answer.conn))
+        response, body = await pool.fetch(ClientRequest('GET', '/'))
+        conn_ids.add(id(response.conn))
         assert body == b'{}'
-    assert len(ports) == 1
+    assert len(conn_ids) == 1
     pool.close()
 
 
-async def test_a_stale_connection_is_not_used(app: App) -> None:
+async def test_connection_closed_by_server_is_not_reused(app: App) -> None:
     pool = ConnectionPool(app.address, 1, 1)
     await pool.fetch(ClientRequest('GET', '/'))
     await asyncio.sleep(0.5)
@@ -144,7 +144,7 @@
     pool.close()
 
 
-async def test_a_cut_body_is_never_taken_as_whole(app: App) -> None:
+async def test_cut_body_raises_connection_lost(app: App) -> None:
     pool = ConnectionPool(app.address, 1, 1)
     with pytest.raises(ConnectionLostError):
         await pool.fetch(ClientRequest('GET', '/cut'))
@@ -152,15 +152,15 @@
     pool.close()
 
 
-async def test_nobody_listening_means_not_sent() -> None:
+async def test_connecting_to_closed_port_raises_not_sent() -> None:
     pool = ConnectionPool(Address(HOST, free_ports(1)[0]), 1, 1)
     with pytest.raises(NotSentError):
         await pool.fetch(ClientRequest('GET', '/'))
 
 
-async def test_connections_are_bounded(app: App) -> None:
-    kept = [await asyncio.open_connection(*app.address) for _ in range(3)]
+async def test_connection_above_limit_is_refused(app: App) -> None:
+    opened = [await asyncio.open_connection(*app.address) for _ in range(3)]
     refused = await send_raw(app.address, b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     assert b'429' in refused
-    for _, writer in kept:
+    for _, writer in opened:
         writer.close()
