--- a/gentiantrestle/store/__init__.py
+++ b/gentiantrestle/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API behind one small adapter."""
+"""Client of the platform's object API."""
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -1,4 +1,4 @@
-"""Adapter to the object API; a new wire format replaces this module."""
+"""Client of the object API; its wire format is used only here."""
 
 import asyncio
 from typing import Any, NamedTuple, NotRequired, TypedDict
@@ -16,13 +16,13 @@
     NotSentError,
 )
 
-ABSENT = 0
-TOKEN = 'token'
+ABSENT = 0  # expected version of an object that must not exist yet
+WRITE_TOKEN = 'token'
 ROOT = '/v1/objects'
 POOL_SIZE = 32
 WATCH_WAIT = 10.0  # seconds
-SETTLE_PAUSE = 0.1  # seconds
-SETTLE_TRIES = 5
+RETRY_DELAY = 0.1  # seconds; doubled with each attempt
+MAX_WRITE_ATTEMPTS = 5
 NOT_FOUND = 404
 PRECONDITION_FAILED = 412
 Document = dict[str, Any]
@@ -33,18 +33,18 @@
 
 
 class StoreOutcomeUnknownError(Exception):
-    """The store did not answer; the change may yet take effect."""
+    """The store did not answer; the write may still take effect."""
 
 
 class VersionedDocument(NamedTuple):
-    """A document and the version it was read or written at."""
+    """A document, and the version at which it was read or written."""
 
     version: int
     document: Document
 
 
-class Reply(NamedTuple):
-    """What the object API answered."""
+class StoreReply(NamedTuple):
+    """A response of the object API; ``version`` is 0 if it gives none."""
 
     status: int
     version: int
@@ -52,18 +52,18 @@
 
 
 class WriteConflict(NamedTuple):
-    """A falsy sentinel: the condition of a write did not hold."""
+    """A write whose version condition did not hold; always falsy."""
 
     name: str
     reason: str
 
     def __bool__(self) -> bool:
-        """Read as false."""
+        """Return False, so that a conflict can be told from a write."""
         return False
 
 
 class ListedObject(TypedDict):
-    """One object in a list or watch answer."""
+    """One object in the response to a list or watch call."""
 
     name: str
     version: int
@@ -72,17 +72,17 @@
 
 
 class ObjectList(TypedDict):
-    """What a list or a watch answers."""
+    """Response to a list or watch call."""
 
     revision: int
     objects: list[ListedObject]  # noqa: WPS110 (the object API's word)
 
 
 class StoreClient:
-    """Reads and conditional writes, with lost answers settled."""
+    """Reads and conditional writes; resolves writes without a response."""
 
     def __init__(self, ctx: Context) -> None:
-        """Keep separate connections for calls and for the watch."""
+        """Create separate connection pools for calls and for the watch."""
         self._ctx = ctx
         timeout = ctx.cfg.store_timeout
         address = ctx.cfg.store_address
@@ -91,27 +91,27 @@
         self.reachable = True
 
     async def get(self, name: str) -> VersionedDocument | None:
-        """Read one object, or nothing where none exists."""
-        reply = await self._call('get', _get(name))
+        """Read an object; None if it does not exist."""
+        reply = await self._call('get', _get_request(name))
         if reply.status == NOT_FOUND:
             return None
         return VersionedDocument(reply.version, msgspec.json.decode(reply.body))
 
     async def list_names(self, prefix: str) -> list[ListedObject]:
-        """List names and versions below a prefix."""
+        """List names and versions under a prefix."""
         return (await self._list([('prefix', prefix)]))['objects']
 
     async def list_documents(self, *prefixes: str) -> ObjectList:
-        """List whole documents below prefixes, with the revision."""
+        """List the objects under prefixes, with documents and revision."""
         query = [('prefix', prefix) for prefix in prefixes]
         return await self._list([*query, ('values', '1')])
 
     async def watch(self, after: int, *prefixes: str) -> ObjectList:
-        """Wait for changes after a revision; empty when none came."""
+        """Wait for changes after a revision; empty if none arrive in time."""
         return await self._watch(after, WATCH_WAIT, prefixes)
 
     async def read_changes(self, after: int, *prefixes: str) -> ObjectList:
-        """Read the changes after a revision without waiting for any."""
+        """Read the changes after a revision without waiting."""
         return await self._watch(after, 0, prefixes)
 
     async def put(
@@ -120,25 +120,27 @@
         document: Document,
         expected: int,
     ) -> VersionedDocument | WriteConflict:
-        """Write if the version is still the expected one.
+        """Write a document if its version is still ``expected``.
 
-        A lost answer is settled by sending the same write again under the
-        same condition and, on a conflict, by comparing the write token.
+        If the response is lost, the same write is sent again under the same
+        condition; on a conflict, the write token shows whether the first
+        write took effect. Raises ``StoreUnavailableError`` if nothing was
+        written and ``StoreOutcomeUnknownError`` if it may have been.
         """
-        written = {**document, TOKEN: uuid4().hex}
-        call = _put(name, written, expected)
-        for attempt in range(SETTLE_TRIES):
-            sent = await self._try_write(name, call, first=attempt == 0)
-            if sent is None:
-                await asyncio.sleep(SETTLE_PAUSE * 2**attempt)
+        written = {**document, WRITE_TOKEN: uuid4().hex}
+        req = _put_request(name, written, expected)
+        for attempt in range(MAX_WRITE_ATTEMPTS):
+            reply = await self._try_write(name, req, first=attempt == 0)
+            if reply is None:
+                await asyncio.sleep(RETRY_DELAY * 2**attempt)
                 continue
-            if sent.status != PRECONDITION_FAILED:
-                return VersionedDocument(sent.version, written)
-            return await self._settle(name, written, lost=attempt > 0)
+            if reply.status != PRECONDITION_FAILED:
+                return VersionedDocument(reply.version, written)
+            return await self._resolve_conflict(name, written, lost=attempt > 0)
         raise StoreOutcomeUnknownError(name)
 
     async def delete(self, name: str) -> None:
-        """Delete an object; deleting twice is the same as once."""
+        """Delete an object; idempotent."""
         await self._call('write', ClientRequest('DELETE', _target(name)))
 
     def close(self) -> None:
@@ -149,13 +151,13 @@
     async def _try_write(
         self,
         name: str,
-        call: ClientRequest,
+        req: ClientRequest,
         *,
         first: bool,
-    ) -> 'Reply | None':
-        """Send a write; nothing comes back when its answer is lost."""
+    ) -> 'StoreReply | None':
+        """Send a write; return None if it has to be sent again."""
         try:
-            return await self._call('write', call)
+            return await self._call('write', req)
         except StoreUnavailableError:
             if first:
                 raise
@@ -163,7 +165,7 @@
             events.emit(events.WRITE_UNSURE, name=name)
         return None
 
-    async def _settle(
+    async def _resolve_conflict(
         self,
         name: str,
         written: Document,
@@ -176,10 +178,13 @@
             found = await self.get(name)
         except StoreUnavailableError as exc:
             raise StoreOutcomeUnknownError(name) from exc
-        mine = found is not None and found.document[TOKEN] == written[TOKEN]
-        outcome = 'done' if mine else 'conflict'
+        is_ours = (
+            found is not None
+            and found.document[WRITE_TOKEN] == written[WRITE_TOKEN]
+        )
+        outcome = 'done' if is_ours else 'conflict'
         events.emit(events.WRITE_SETTLED, name=name, outcome=outcome)
-        if mine:
+        if is_ours:
             return found
         return WriteConflict(name, f'{name} was changed by another writer')
 
@@ -207,31 +212,31 @@
     async def _call(
         self,
         verb: str,
-        call: ClientRequest,
+        req: ClientRequest,
         *,
         pool: ConnectionPool | None = None,
         timeout: float | None = None,
-    ) -> 'Reply':
+    ) -> 'StoreReply':
         self._ctx.metrics.store_calls.inc({'verb': verb})
-        zoned = call._replace(
-            headers=(*call.headers, ('X-Zone', self._ctx.cfg.zone)),
+        zoned_req = req._replace(
+            headers=(*req.headers, ('X-Zone', self._ctx.cfg.zone)),
         )
         try:
             async with asyncio.timeout(timeout or self._ctx.cfg.store_timeout):
-                answer, body = await (pool or self._calls).fetch(zoned)
+                response, body = await (pool or self._calls).fetch(zoned_req)
         except NotSentError as exc:
-            self._note(reachable=False, error=str(exc))
+            self._set_reachable(reachable=False, error=str(exc))
             raise StoreUnavailableError(str(exc)) from exc
         except (ConnectionLostError, TimeoutError) as exc:
-            self._note(reachable=False, error=repr(exc))
+            self._set_reachable(reachable=False, error=repr(exc))
             if verb == 'write':
                 raise StoreOutcomeUnknownError(repr(exc)) from exc
             raise StoreUnavailableError(repr(exc)) from exc
-        self._note(reachable=True)
-        version = int(answer.header('X-Version') or 0)
-        return Reply(answer.status, version, body)
+        self._set_reachable(reachable=True)
+        version = int(response.header('X-Version') or 0)
+        return StoreReply(response.status, version, body)
 
-    def _note(self, *, reachable: bool, error: str = '') -> None:
+    def _set_reachable(self, *, reachable: bool, error: str = '') -> None:
         if reachable and not self.reachable:
             events.emit(events.STORE_BACK)
         if self.reachable and not reachable:
@@ -243,11 +248,11 @@
     return f'{ROOT}/{quote(name)}'
 
 
-def _get(name: str) -> ClientRequest:
+def _get_request(name: str) -> ClientRequest:
     return ClientRequest('GET', _target(name))
 
 
-def _put(name: str, document: Document, expected: int) -> ClientRequest:
+def _put_request(name: str, document: Document, expected: int) -> ClientRequest:
     condition = ('If-Match', str(expected))
     if expected == ABSENT:
         condition = ('If-None-Match', '*')
--- a/gentiantrestle/wire/peer.thrift
+++ b/gentiantrestle/wire/peer.thrift
@@ -14,7 +14,7 @@
   3: required i32 batch,
 }
 
-/* What one instance says of itself; a higher (incarnation, beat) wins. */
+/* State of one instance; the highest (incarnation, beat) is the newest. */
 struct Member {
   1: required string instance,
   2: required i64 incarnation,
@@ -34,7 +34,7 @@
   1: required list<Member> members,
 }
 
-/* A copied object of the platform's store; absent payload means deleted. */
+/* A changed object of the platform's store; without payload: deleted. */
 struct Change {
   1: required string name,
   2: required i64 version,
@@ -64,7 +64,7 @@
   6: required map<string, string> headers,
 }
 
-/* Online requests in flight, told to the owner of the batch slots. */
+/* Online requests in flight, sent to the owner of the batch slots. */
 struct LoadReport {
   1: required string instance,
   2: required list<Load> loads,
@@ -73,7 +73,7 @@
 struct ReportRequest {
 }
 
-/* Good and bad events of an objective within a window, in s. */
+/* Good and bad events of an objective within a window (in s). */
 struct ReportRow {
   1: required string endpoint,
   2: required string objective,
@@ -86,7 +86,7 @@
   1: required list<ReportRow> rows,
 }
 
-/* Loads of many instances, added up; of batch the tightest instance's. */
+/* Sums over many instances; batch_* are those of the most urgent one. */
 struct Summary {
   1: required list<Load> loads,
   2: required i32 waiting,
@@ -94,7 +94,7 @@
   4: required i64 batch_spare,
 }
 
-/* What an instance of the gateway tells the others, often and briefly. */
+/* Gossip message of a gateway instance, sent often and kept short. */
 struct Pulse {
   1: required string instance,
   2: required i64 incarnation,
@@ -106,35 +106,35 @@
   8: required bool store_reached,
   9: required i32 waiting,
   10: required list<Load> loads,
-  /* Hosts of other instances, told to one that has just come. */
+  /* Hosts of other instances, sent to one that has just joined. */
   11: optional list<string> hosts,
-  /* Jobs that their callers have ended lately. */
+  /* Jobs that their callers have ended recently. */
   12: required list<string> ended,
-  /* Runs of instances whose jobs the sender has taken over. */
+  /* Runs (instance and incarnation) whose jobs the sender has taken over. */
   13: required list<string> taken,
-  /* Batch items that wait for a slot, and the time to spare of the first in
-     ms; below zero it can't be in time any more. */
+  /* Batch items that wait for a slot, and the slack of the first in ms;
+     if negative, it can't meet its deadline any more. */
   14: required i32 batch_waiting,
   15: required i64 batch_spare,
-  /* Revisions of the store that the sender's knowledge is from. */
+  /* Store revisions of the upstreams and jobs that the sender knows. */
   16: required i64 upstreams_revision,
   17: required i64 jobs_revision,
-  /* Fingerprint of the upstreams' entries that the sender knows. */
+  /* Fingerprint of the upstream entries that the sender knows. */
   20: required i64 upstreams_mark,
-  /* In large fleets: the sender's zone, told to the speakers of others. */
+  /* Large fleets: the sender's zone, sent to aggregators of other zones. */
   18: optional Summary zone_summary,
-  /* In large fleets: all other zones, told by its speaker to a zone. */
+  /* Large fleets: all other zones, sent by a zone's aggregator to it. */
   19: optional Summary far_summary,
 }
 
-/* An object of the platform's store, as an instance knows it. */
+/* An object of the platform's store, as the sender knows it. */
 struct KnownObject {
   1: required string name,
   2: required i64 revision,
   3: required binary content,
 }
 
-/* Asks for all that is newer than what the sender knows. */
+/* Asks for everything newer than the versions that the sender has. */
 struct CopyRequest {
   1: required i64 config_version,
   2: required i64 upstreams_revision,
@@ -145,15 +145,15 @@
   1: required i64 upstreams_revision,
   2: required i64 jobs_revision,
   3: optional KnownObject config,
-  /* All upstreams' entries; absent where they aren't newer. */
+  /* All upstream entries; absent if they are no newer than asked. */
   4: optional list<KnownObject> upstreams,
-  /* The jobs that are newer than asked. */
+  /* The jobs newer than asked. */
   5: required list<KnownObject> jobs,
-  /* How long entries that vanish still count as lapsed, in ms. */
+  /* Time in ms for which entries that vanish still count as lapsed. */
   6: required i64 lapse_left,
 }
 
-/* Asks the instance that runs a job for its results from a position on. */
+/* Asks the instance that runs a job for results after a position. */
 struct ResultsRequest {
   1: required string job,
   2: required i32 after,
@@ -169,7 +169,7 @@
   1: required bool known,
   2: required bool complete,
   3: required list<ResultRow> rows,
-  /* Parts of the job's results that the store holds. */
+  /* Number of chunks of the job's results in the store. */
   4: required i32 chunks,
 }
 
--- a/tests/interfaces/test_store.py
+++ b/tests/interfaces/test_store.py
@@ -1,4 +1,4 @@
-"""Contract of the store's adapter, against the stand-in."""
+"""Contract of the store client, against the stand-in."""
 
 import asyncio
 from typing import Any
@@ -25,7 +25,7 @@
 scenarios('../features/store.feature')
 
 NAME = 'conf/one'
-OLD = 999
+OLD_VERSION = 999
 FAULTS = {
     'none': {},
     'one lost answer': {'lose': 1},
@@ -36,7 +36,7 @@
 
 
 def build_context(port: int) -> Context:
-    """Build a context whose store is at a port of this machine."""
+    """Build a context whose store is at a local port."""
     cfg = Settings.from_sources(
         {
             'instance': 'i0',
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def world() -> dict[str, Any]:
-    """Hold what the steps of one scenario tell each other."""
+    """State that the steps of one scenario share."""
     return {'port': free_ports(1)[0]}
 
 
@@ -68,7 +68,7 @@
 
 @when(parsers.parse('a document is written expecting {expecting}'))
 def _write(world: dict[str, Any], expecting: str) -> None:
-    asyncio.run(_run(world, expecting))
+    asyncio.run(_run_write(world, expecting))
 
 
 @then(parsers.parse('the outcome is {outcome}'))
@@ -81,7 +81,7 @@
     assert world['holds'] == holds
 
 
-async def _run(world: dict[str, Any], expecting: str) -> None:
+async def _run_write(world: dict[str, Any], expecting: str) -> None:
     standin = PlatformStandin()
     server = Server(standin.handle, ServerLimits())
     await server.start(HOST, world['port'])
@@ -92,12 +92,14 @@
     await send(
         Address(HOST, world['port']), 'POST', '/control', FAULTS[world['fault']]
     )
-    expected = {'absent': ABSENT, 'current': version, 'old': OLD}[expecting]
+    expected = {'absent': ABSENT, 'current': version, 'old': OLD_VERSION}[
+        expecting
+    ]
     if world['fault'] == 'refused':
         await server.stop(0)
         store.close()
     world['outcome'] = await _put(store, expected)
-    await send_control_off(world)
+    await end_outage(world)
     world['holds'] = await _count(store, world)
     await server.stop(0)
 
@@ -112,8 +114,8 @@
     return 'conflict' if isinstance(written, WriteConflict) else 'written'
 
 
-async def send_control_off(world: dict[str, Any]) -> None:
-    """End the outage, where the stand-in still runs."""
+async def end_outage(world: dict[str, Any]) -> None:
+    """End the outage if the stand-in is still running."""
     if world['fault'] != 'refused':
         address = Address(HOST, world['port'])
         await send(address, 'POST', '/control', {'outage': False})
