--- a/gentiantrestle/platform/__init__.py
+++ b/gentiantrestle/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls, no decisions."""
+"""Adapter to the platform: its names, formats and calls; no decisions."""
--- a/gentiantrestle/platform/__main__.py
+++ b/gentiantrestle/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one role on the platform: ``python3 -m gentiantrestle.platform``."""
+"""Runs one role on the platform: ``python3 -m gentiantrestle.platform``."""
 
 import os
 import sys
@@ -22,25 +22,27 @@
 
 
 def main() -> int:
-    """Run the role that the first argument names; return the status."""
-    values = flags.FlagValues()
-    define_flags(values, OPTIONS)
+    """Run the role named by the first argument; return the exit status."""
+    parsed = flags.FlagValues()
+    define_flags(parsed, OPTIONS)
     try:
-        words = values(sys.argv)[1:]
+        arguments = parsed(sys.argv)[1:]
         node = NodeSettings.from_file(os.environ.get(SETTINGS_VARIABLE, ''))
     except (flags.Error, SettingsError) as exc:
-        return _refuse(str(exc))
-    if len(words) != 1 or words[0] not in ROLES:
-        return _refuse(USAGE + ', '.join(ROLES))
-    given = {name: values[name].value for name in values}
-    cfg = Settings.from_sources(given, os.environ, OPTIONS)
+        return _report_error(str(exc))
+    if len(arguments) != 1 or arguments[0] not in ROLES:
+        return _report_error(USAGE + ', '.join(ROLES))
+    settings = {name: parsed[name].value for name in parsed}
+    cfg = Settings.from_sources(settings, os.environ, OPTIONS)
     if isinstance(cfg, list):
-        return _refuse(' '.join(f'{one.reason}. {one.remedy}' for one in cfg))
+        return _report_error(
+            ' '.join(f'{problem.reason}. {problem.remedy}' for problem in cfg)
+        )
     events.configure_sink(cfg.gateway_log_level, LineSink(sys.stdout.fileno()))
-    return uvloop.run(ROLES[words[0]](node, cfg))
+    return uvloop.run(ROLES[arguments[0]](node, cfg))
 
 
-def _refuse(reason: str) -> int:
+def _report_error(reason: str) -> int:
     sys.stderr.write(f'{reason}\n')
     return ExitStatus.BAD_SETTINGS
 
--- a/gentiantrestle/platform/dialect.py
+++ b/gentiantrestle/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Names and formats of callers' and servers' messages."""
+"""Decodes and encodes the messages of the platform's callers and servers."""
 
 import base64
 import re
@@ -24,49 +24,49 @@
 
 HOST = b'host'
 REQUEST_ID = b'x-attempt-id'
-# Milliseconds that are left, not a point in time.
+# Remaining time in ms, not a point in time.
 TIME_LEFT = b'x-deadline-ms'
 EXPECTED_UPSTREAM = b'x-expect-instance'
-# Proves that an answer is a server's own.
+# Proves that the server itself has produced the response.
 STAMP = b'x-server-stamp'
 NOT_RUN = b'x-not-executed'
 LAST_EVENT = b'last-event-id'
 ENCODING = b'content-encoding'
 WAIT = b'x-wait-ms'
 LENGTH = b'content-length'
-# Set anew for each upstream.
+# Set separately for each upstream.
 REPLACED = frozenset((TIME_LEFT, EXPECTED_UPSTREAM, LAST_EVENT, LENGTH))
 REPLACED_FOR_ITEMS = REPLACED | {HOST, REQUEST_ID}
 MISDIRECTED = 421
-FIRST_FAILURE = 300
-MAX_WAIT = 1.0  # seconds a read of results may be kept waiting
-MAX_DEADLINE = 60.0  # seconds, for requests that tell no deadline
+FIRST_NON_SUCCESS = 300
+MAX_WAIT = 1.0  # seconds that a read of results may wait
+DEFAULT_TIMEOUT = 60.0  # seconds, for requests without a deadline
 MAX_ITEMS = 200  # items in one job
 MS = 0.001  # seconds
-ID = re.compile(r'[\w.-]{1,128}')
+ID_PATTERN = re.compile(r'[\w.-]{1,128}')
 RESULTS_PATH = re.compile(r'/gentiantrestle/lots/([\w.-]{1,128})')
 BODY_PATH = re.compile(r'/gentiantrestle/items/([\w.-]{1,128})')
 COMPLETED = 'completed'
-GIVEN_UP = 'dead_lettered'
-# A decoding error is a ValueError too.
-UNFIT = (LookupError, TypeError, ValueError, AttributeError)
+DEAD_LETTERED = 'dead_lettered'
+# msgspec and base64 raise subclasses of ValueError.
+DECODE_ERRORS = (LookupError, TypeError, ValueError, AttributeError)
 
 
 class PlatformDialect:
-    """Speaks as the platform's callers and servers do."""
+    """Formats of the platform's callers and servers; decides nothing."""
 
     def read_job_operation(self, head: h11.Request) -> JobOperation | None:
-        """Recognize a call on batch jobs; None is an ordinary request."""
+        """Decode an operation on batch jobs; None for an ordinary request."""
         path, _, query = head.target.decode('latin-1').partition('?')
-        arguments = parse_qs(query)
+        query_values = parse_qs(query)
         match = BODY_PATH.fullmatch(path)
         if match and head.method == b'GET':
-            return ReadBody(match[1], arguments.get('id', [''])[0])
+            return ReadBody(match[1], query_values.get('id', [''])[0])
         match = RESULTS_PATH.fullmatch(path)
         if match and head.method == b'DELETE':
             return CancelJob(match[1])
         if match and head.method == b'GET':
-            after = arguments.get('after', ['0'])[0]
+            after = query_values.get('after', ['0'])[0]
             wait = _number(dict(head.headers).get(WAIT)) * MS
             position = int(after) if after.isdigit() else 0
             return ReadResults(match[1], position, min(MAX_WAIT, wait))
@@ -75,12 +75,17 @@
     def read_request(
         self, head: h11.Request, body: bytes, now: float
     ) -> Request:
-        """Decode an ordinary request; raise ``RefusedError`` if unfit."""
+        """Decode an ordinary request; raise ``RefusedError`` if invalid.
+
+        ``now`` is a monotonic time in s.
+        """
         fields = dict(head.headers)
         request_id = fields.get(REQUEST_ID, b'').decode('latin-1')
-        if not ID.fullmatch(request_id):
-            raise refuse(BAD_REQUEST, 'The request has no usable id')
-        left = _number(fields.get(TIME_LEFT)) * MS or MAX_DEADLINE
+        if not ID_PATTERN.fullmatch(request_id):
+            raise refuse(
+                BAD_REQUEST, 'X-Attempt-Id is missing or is not a valid id'
+            )
+        timeout = _number(fields.get(TIME_LEFT)) * MS or DEFAULT_TIMEOUT
         return Request(
             request_id,
             head.method.decode(),
@@ -89,22 +94,22 @@
             forwardable_headers(head.headers, REPLACED),
             body,
             now,
-            now + left,
+            now + timeout,
             last_event=_number(fields.get(LAST_EVENT)),
         )
 
     def read_items(self, body: bytes) -> tuple[ItemSpec, ...]:
-        """Decode a job's items; raise ``RefusedError`` if unfit."""
+        """Decode a job's items; raise ``RefusedError`` if invalid."""
         try:
-            listed = msgspec.json.decode(body)['items']
-            found = tuple(_item(one) for one in listed)
-        except UNFIT as exc:
+            documents = msgspec.json.decode(body)['items']
+            specs = tuple(_decode_item(document) for document in documents)
+        except DECODE_ERRORS as exc:
             raise refuse(BAD_REQUEST, f'Not a batch job: {exc!r}') from exc
-        if not 0 < len(found) <= MAX_ITEMS:
+        if not 0 < len(specs) <= MAX_ITEMS:
             raise refuse(BAD_REQUEST, f'A job has 1 to {MAX_ITEMS} items')
-        if len({spec.id for spec in found}) != len(found):
+        if len({spec.id for spec in specs}) != len(specs):
             raise refuse(BAD_REQUEST, 'Two items of the job share an id')
-        return found
+        return specs
 
     def upstream_headers(
         self,
@@ -113,11 +118,11 @@
         left: float,
         last_event: int,
     ) -> list[tuple[bytes, bytes]]:
-        """Build the header of a request that has ``left`` s."""
+        """Return the header for an upstream; ``left`` is the time left in s."""
         return [
             *call.headers,
             (TIME_LEFT, str(max(1, int(left / MS))).encode()),
-            *_common(upstream, last_event),
+            *_upstream_fields(upstream, last_event),
         ]
 
     def item_headers(
@@ -127,29 +132,29 @@
         upstream: Upstream,
         last_event: int,
     ) -> list[tuple[bytes, bytes]]:
-        """Build the header of an item's run."""
-        own = [
+        """Return the header for one run of a batch item."""
+        item_fields = [
             (name.encode(), text.encode())
             for name, text in spec.headers.items()
         ]
         return [
             (HOST, host.encode()),
             (REQUEST_ID, spec.id.encode()),
-            *forwardable_headers(own, REPLACED_FOR_ITEMS),
-            *_common(upstream, last_event),
+            *forwardable_headers(item_fields, REPLACED_FOR_ITEMS),
+            *_upstream_fields(upstream, last_event),
         ]
 
     def read_reply(self, head: h11.Response) -> Reply:
-        """Decode the head of a server's answer."""
+        """Decode the head of a server's response."""
         fields = dict(head.headers)
-        refused = NOT_RUN in fields or head.status_code == MISDIRECTED
-        whole = STAMP in fields and ENCODING not in fields
+        not_run = NOT_RUN in fields or head.status_code == MISDIRECTED
+        authentic = STAMP in fields and ENCODING not in fields
         return Reply(
             head.status_code,
             forwardable_headers(head.headers),
             fields.get(REQUEST_ID, b'').decode('latin-1'),
-            genuine=whole or head.status_code >= FIRST_FAILURE,
-            not_run=refused,
+            genuine=authentic or head.status_code >= FIRST_NON_SUCCESS,
+            not_run=not_run,
             wrong_instance=head.status_code == MISDIRECTED,
         )
 
@@ -157,11 +162,11 @@
         self,
         refusal: Refusal,
     ) -> tuple[int, HeaderPairs, bytes]:
-        """Encode a refusal: status, header, body."""
+        """Encode a refusal as status, header and body."""
         headers = [(b'content-type', b'application/json')]
         if refusal.retry_after is not None:
-            pause = str(round(refusal.retry_after, 2))
-            headers.append((b'retry-after', pause.encode()))
+            delay = str(round(refusal.retry_after, 2))
+            headers.append((b'retry-after', delay.encode()))
         body = msgspec.json.encode(error_document(refusal))
         return refusal.kind.status, headers, body
 
@@ -171,21 +176,21 @@
         after: int,
         results: Iterable[ItemResult],
     ) -> bytes:
-        """Encode a page of results."""
-        listed = [
+        """Encode the page of results that follows position ``after``."""
+        rows = [
             {
-                'id': one.id,
-                'state': COMPLETED if one.completed else GIVEN_UP,
-                'output': one.output,
+                'id': item.id,
+                'state': COMPLETED if item.completed else DEAD_LETTERED,
+                'output': item.output,
             }
-            for one in results
+            for item in results
         ]
         return msgspec.json.encode(
-            {'total': total, 'next': after + len(listed), 'results': listed},
+            {'total': total, 'next': after + len(rows), 'results': rows},
         )
 
 
-def _common(
+def _upstream_fields(
     upstream: Upstream,
     last_event: int,
 ) -> list[tuple[bytes, bytes]]:
@@ -195,22 +200,22 @@
     return fields
 
 
-def _item(told: dict[str, Any]) -> ItemSpec:
-    headers = dict(told.get('headers') or {})
+def _decode_item(document: dict[str, Any]) -> ItemSpec:
+    headers = dict(document.get('headers') or {})
     return ItemSpec(
-        _checked_id(told['id']),
-        int(told.get('token-count', 0)),
-        told['path'],
+        _checked_id(document['id']),
+        int(document.get('token-count', 0)),
+        document['path'],
         {str(name): str(text) for name, text in headers.items()},
-        base64.b64decode(told.get('body') or '', validate=True),
+        base64.b64decode(document.get('body') or '', validate=True),
     )
 
 
-def _checked_id(told: Any) -> str:
-    if not isinstance(told, str) or not ID.fullmatch(told):
-        raise ValueError(f'{told!r} is not an id')
-    return told
+def _checked_id(raw: Any) -> str:
+    if not isinstance(raw, str) or not ID_PATTERN.fullmatch(raw):
+        raise ValueError(f'{raw!r} is not a valid id')
+    return raw
 
 
-def _number(told: bytes | None) -> int:
-    return int(told) if told and told.isdigit() else 0
+def _number(raw: bytes | None) -> int:
+    return int(raw) if raw and raw.isdigit() else 0
--- a/gentiantrestle/platform/document_decoder.py
+++ b/gentiantrestle/platform/document_decoder.py
@@ -20,52 +20,52 @@
 CONFIG_KIND = 'config'
 CONFIG_NAME = 'main'
 SERVER_KIND = 'servers'
-# Requests that a storage machine be emptied, by its name.
+# Requests to empty a storage instance; each is named after the instance.
 RETIREMENT_KIND = 'retirements'
-RETIRED = MappingProxyType({'state': 'completed'})
-KINDS = {
+RETIRED_STATUS = MappingProxyType({'state': 'completed'})
+ROUTE_KINDS = {
     'safe': RouteKind.SAFE,
     'unsafe': RouteKind.UNSAFE,
     'streaming': RouteKind.STREAM,
     'batch': RouteKind.BATCH,
 }
-STATES = {'ready': False, 'draining': True}
-UNFIT = (LookupError, TypeError, ValueError, AttributeError)
+DRAINING_BY_STATE = {'ready': False, 'draining': True}
+DECODE_ERRORS = (LookupError, TypeError, ValueError, AttributeError)
 MS = 0.001  # seconds
 
 
 class StoreDocumentDecoder:
-    """Decodes the platform's kinds; what can't be read is logged."""
+    """Decodes objects of the platform's kinds; logs unreadable ones."""
 
     def read_table(self, stored: StoredObject) -> RoutingTable | None:
-        """Decode the configuration; None where it can't be read."""
+        """Decode the configuration; None if it is unreadable."""
         try:
-            return _table(stored.content)
-        except UNFIT as exc:
+            return _decode_table(stored.content)
+        except DECODE_ERRORS as exc:
             events.emit(
                 events.ENTRY_UNREADABLE, name=stored.name, error=repr(exc)
             )
             return None
 
     def read_upstream(self, stored: StoredObject) -> Upstream | None:
-        """Decode a server's entry; None where it names no usable one."""
+        """Decode a server's entry; None if it is unreadable."""
         try:
-            return _upstream(stored.name, stored.content)
-        except UNFIT as exc:
+            return _decode_upstream(stored.name, stored.content)
+        except DECODE_ERRORS as exc:
             events.emit(
                 events.ENTRY_UNREADABLE, name=stored.name, error=repr(exc)
             )
             return None
 
 
-def _table(told: Mapping[str, Any]) -> RoutingTable:
-    limits = told['limits']
+def _decode_table(document: Mapping[str, Any]) -> RoutingTable:
+    limits = document['limits']
     return RoutingTable(
-        version=int(told['version']),
-        routes=tuple(_route(one) for one in told['routes']),
+        version=int(document['version']),
+        routes=tuple(_decode_route(entry) for entry in document['routes']),
         services={
-            one['name']: Service(one['name'], 'engine' in one)
-            for one in told['services']
+            entry['name']: Service(entry['name'], 'engine' in entry)
+            for entry in document['services']
         },
         limits=CallerLimits(
             int(limits['max-header-bytes']),
@@ -76,47 +76,48 @@
     )
 
 
-def _route(told: Mapping[str, Any]) -> Route:
-    split = told.get('split') or ({'service': told.get('service')},)
+def _decode_route(document: Mapping[str, Any]) -> Route:
+    split = document.get('split') or ({'service': document.get('service')},)
     return Route(
-        name=told['name'],
-        host=told['hostname'].lower(),
-        prefix=told['path-prefix'],
-        kind=KINDS[told['route-kind']],
-        timeout=told['timeout-ms'] * MS,
-        latency_target=told['latency-target-ms'] * MS,
-        priority=int(told.get('priority', 0)),
+        name=document['name'],
+        host=document['hostname'].lower(),
+        prefix=document['path-prefix'],
+        kind=ROUTE_KINDS[document['route-kind']],
+        timeout=document['timeout-ms'] * MS,
+        latency_target=document['latency-target-ms'] * MS,
+        priority=int(document.get('priority', 0)),
         shares=tuple(
-            Share(one['service'], float(one.get('weight', 1))) for one in split
+            Share(share['service'], float(share.get('weight', 1)))
+            for share in split
         ),
-        max_attempts=int(told.get('max-attempts', 1)),
-        resumable=bool(told.get('resumable')),
-        completion_target=told.get('completion-target-ms', 0) * MS,
-        retention=float(told.get('retention-s', 0)),
-        # On a batch route the count is of tokens, over all its jobs.
-        max_tokens=int(told.get('max-count', 0)),
+        max_attempts=int(document.get('max-attempts', 1)),
+        resumable=bool(document.get('resumable')),
+        completion_target=document.get('completion-target-ms', 0) * MS,
+        retention=float(document.get('retention-s', 0)),
+        # On a batch route, max-count limits the tokens of all its jobs.
+        max_tokens=int(document.get('max-count', 0)),
     )
 
 
-def _upstream(name: str, told: Mapping[str, Any]) -> Upstream:
+def _decode_upstream(name: str, document: Mapping[str, Any]) -> Upstream:
     return Upstream(
         id=name,
-        service=_text(told['service']),
-        address=Address.parse(_text(told['address'])),
-        zone=_text(told['zone']),
-        slots=_whole(told['slots']),
-        draining=STATES[told['state']],
-        incarnation=_whole(told.get('born', 0)),
+        service=_checked_text(document['service']),
+        address=Address.parse(_checked_text(document['address'])),
+        zone=_checked_text(document['zone']),
+        slots=_checked_count(document['slots']),
+        draining=DRAINING_BY_STATE[document['state']],
+        incarnation=_checked_count(document.get('born', 0)),
     )
 
 
-def _text(told: Any) -> str:
-    if not isinstance(told, str):
-        raise TypeError(f'{told!r} is not a text')
-    return told
+def _checked_text(raw: Any) -> str:
+    if not isinstance(raw, str):
+        raise TypeError(f'{raw!r} is not a string')
+    return raw
 
 
-def _whole(told: Any) -> int:
-    if not isinstance(told, int) or isinstance(told, bool) or told < 0:
-        raise TypeError(f'{told!r} is not a whole number')
-    return told
+def _checked_count(raw: Any) -> int:
+    if not isinstance(raw, int) or isinstance(raw, bool) or raw < 0:
+        raise TypeError(f'{raw!r} is not a non-negative integer')
+    return raw
--- a/gentiantrestle/platform/object_client.py
+++ b/gentiantrestle/platform/object_client.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's object store."""
+"""Client of the platform's object store."""
 
 import asyncio
 from typing import Any
@@ -22,24 +22,28 @@
 
 ROOT = '/gentiantrestle/objects'
 POOL_SIZE = 32
-# The store answers in 4 ms; on slow days some 60 times later.
+# The store answers in 4 ms, and takes some 60 times as long when it is slow.
 CALL_TIMEOUT = 1.5  # seconds
-MAX_SHOWN = 200  # bytes of an odd answer in the log
-WATCH_SLACK = 1.5  # seconds beyond a watch's own wait
+MAX_LOGGED = 200  # bytes of an unexpected response
+WATCH_SLACK = 1.5  # seconds that a watch may take beyond its wait
 OK = 200
 CREATED = 201
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
-NOT_DONE = frozenset((429, 503))  # the store did nothing
-ENDED = frozenset((OK, CREATED, 204, NOT_FOUND, CONFLICT, GONE))
+REJECTED_STATUSES = frozenset((429, 503))  # the store did nothing
+FINAL_STATUSES = frozenset((OK, CREATED, 204, NOT_FOUND, CONFLICT, GONE))
 
 
 class ObjectClient:
-    """Client of the object store; one connection a watch."""
+    """Client of the object store; a watch occupies one connection.
+
+    Raises ``StoreUnavailableError`` if nothing was changed, and
+    ``StoreOutcomeUnknownError`` if a write may still take effect.
+    """
 
     def __init__(self, address: Address) -> None:
-        """Connect when the first call is made."""
+        """Prepare for calls; connections are opened on demand."""
         self._pool = ConnectionPool(address, POOL_SIZE, CALL_TIMEOUT)
         self.calls = 0
 
@@ -50,38 +54,41 @@
         *,
         stale: bool = False,
     ) -> Page:
-        """List one page of a kind after a name."""
+        """List a page of a kind after a name; ``stale`` accepts old data."""
         query = {'after': after} if after else {}
         if stale:
             query['stale-ok'] = '1'
         body = (await self._call('GET', _path(kind), query))[1]
         return Page(
-            tuple(_stored(one) for one in body.get('items', ())),
+            tuple(_decode_object(entry) for entry in body.get('items', ())),
             body['as-of'],
             bool(body.get('has-more')),
         )
 
     async def watch(self, kind: str, revision: int, wait: float) -> Page:
-        """Wait up to ``wait`` s for changes of a kind after a revision."""
+        """Wait up to ``wait`` s for changes of a kind after a revision.
+
+        Raises ``HistoryGoneError`` if the store has dropped that history.
+        """
         query = {'watch': revision, 'wait-ms': int(wait * 1000)}
         status, body = await self._call(
             'GET', _path(kind), query, timeout=wait + WATCH_SLACK
         )
         if status == GONE:
             raise HistoryGoneError(kind)
-        found = tuple(
-            _stored(one['object'], deleted=bool(one.get('deleted')))
-            for one in body['events']
+        changes = tuple(
+            _decode_object(event['object'], deleted=bool(event.get('deleted')))
+            for event in body['events']
         )
-        return Page(found, body['as-of'])
+        return Page(changes, body['as-of'])
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Read one object."""
+        """Read an object; None if it does not exist."""
         status, body = await self._call('GET', _path(kind, name))
-        return None if status == NOT_FOUND else _stored(body)
+        return None if status == NOT_FOUND else _decode_object(body)
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
-        """Create an object; False where one exists."""
+        """Create an object; return False if it exists."""
         document = {'metadata': {'name': name}, 'spec': content}
         status, _ = await self._call('POST', _path(kind), body=document)
         return status != CONFLICT
@@ -89,17 +96,17 @@
     async def put_status(
         self, kind: str, found: StoredObject, status: Any
     ) -> bool:
-        """Replace a status; False where the object has changed since."""
+        """Replace a status; return False if the object changed or is gone."""
         document = {
             'metadata': {'name': found.name, 'revision': found.revision},
             'status': status,
         }
         path = f'{_path(kind, found.name)}/status'
-        answered, _ = await self._call('PUT', path, body=document)
-        return answered not in {CONFLICT, NOT_FOUND}
+        status_code, _ = await self._call('PUT', path, body=document)
+        return status_code not in {CONFLICT, NOT_FOUND}
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete an object; deleting twice is the same as once."""
+        """Delete an object; idempotent."""
         await self._call('DELETE', _path(kind, name))
 
     def close(self) -> None:
@@ -117,27 +124,27 @@
     ) -> tuple[int, Any]:
         self.calls += 1
         target = f'{path}?{urlencode(query)}' if query else path
-        call = _encode(method, target, body)
+        req = _build_request(method, target, body)
         try:
             async with asyncio.timeout(timeout):
-                answer, received = await self._pool.fetch(call)
+                response, received = await self._pool.fetch(req)
         except NotSentError as exc:
             raise StoreUnavailableError(str(exc)) from exc
         except (ConnectionLostError, TimeoutError) as exc:
-            raise _lost(method, exc) from exc
-        if answer.status in ENDED:
-            return answer.status, msgspec.json.decode(received or b'null')
-        if answer.status not in NOT_DONE:
+            raise _lost_call_error(method, exc) from exc
+        if response.status in FINAL_STATUSES:
+            return response.status, msgspec.json.decode(received or b'null')
+        if response.status not in REJECTED_STATUSES:
             events.emit(
                 events.STORE_ODD,
-                status=answer.status,
+                status=response.status,
                 call=f'{method} {path}',
-                answer=received[:MAX_SHOWN].decode(errors='replace'),
+                answer=received[:MAX_LOGGED].decode(errors='replace'),
             )
-        raise StoreUnavailableError(f'status {answer.status}')
+        raise StoreUnavailableError(f'status {response.status}')
 
 
-def _lost(method: str, exc: Exception) -> Exception:
+def _lost_call_error(method: str, exc: Exception) -> Exception:
     if method == 'GET':
         return StoreUnavailableError(repr(exc))
     return StoreOutcomeUnknownError(repr(exc))
@@ -148,7 +155,7 @@
     return f'{path}/{quote(name)}' if name else path
 
 
-def _encode(method: str, target: str, body: Any) -> ClientRequest:
+def _build_request(method: str, target: str, body: Any) -> ClientRequest:
     if body is None:
         return ClientRequest(method, target)
     return ClientRequest(
@@ -159,13 +166,15 @@
     )
 
 
-def _stored(told: dict[str, Any], *, deleted: bool = False) -> StoredObject:
-    metadata = told['metadata']
+def _decode_object(
+    document: dict[str, Any], *, deleted: bool = False
+) -> StoredObject:
+    metadata = document['metadata']
     return StoredObject(
         metadata['name'],
         metadata['revision'],
-        told.get('spec'),
-        told.get('status'),
-        # An object that waits for its finalizers is as good as gone.
+        document.get('spec'),
+        document.get('status'),
+        # An object that only waits for its finalizers counts as deleted.
         deleted or bool(metadata.get('deleting')),
     )
--- a/gentiantrestle/platform/readiness.py
+++ b/gentiantrestle/platform/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether callers may come."""
+"""Answers the readiness checks of the load balancer."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -8,15 +8,15 @@
 PATH = b'/gentiantrestle/readyz'
 
 
-class Readiness:
-    """Tells the balancer whether to send callers."""
+class ReadinessEndpoint:
+    """Tells the load balancer whether to send callers to this instance."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
-        """Ask ``ready`` for each question."""
+        """Call ``ready`` for each check."""
         self._ready = ready
 
     async def answer(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer 200 if ready, 503 if not, and 404 to any other path."""
         status = HTTPStatus.NOT_FOUND
         if exchange.head.target.partition(b'?')[0] == PATH:
             status = HTTPStatus.SERVICE_UNAVAILABLE
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -1,4 +1,4 @@
-"""The roles of the deploy file: what each process does until it is stopped."""
+"""Roles of the deploy file: what each process runs until it is stopped."""
 
 import asyncio
 import random
@@ -20,28 +20,28 @@
 from gentiantrestle.platform.document_decoder import (
     CONFIG_KIND,
     CONFIG_NAME,
-    RETIRED,
+    RETIRED_STATUS,
     RETIREMENT_KIND,
     SERVER_KIND,
     StoreDocumentDecoder,
 )
 from gentiantrestle.platform.object_client import ObjectClient
-from gentiantrestle.platform.readiness import Readiness
+from gentiantrestle.platform.readiness import ReadinessEndpoint
 from gentiantrestle.platform.settings import NodeSettings
 from gentiantrestle.status import ExitStatus
 from gentiantrestle.supervisor import Child, Supervisor
 
 ENTRY = 'entry'
 STORAGE = 'storage'
-# Requests to empty an instance are seconds apart.
-RETIREMENT_REST = 0.5  # seconds
+# Requests to empty an instance come seconds apart.
+RETIREMENT_PAUSE = 0.5  # seconds after changes
 RETIREMENT_WAIT = 20.0  # seconds that one watch waits
 Role = Callable[[NodeSettings, Settings], Awaitable[int]]
 ROLES: dict[str, Role] = {}
 
 
-def _role(name: str) -> Callable[[Role], Role]:
-    """Register the function that runs a role."""
+def _register_role(name: str) -> Callable[[Role], Role]:
+    """Register the decorated function as the one that runs a role."""
 
     def register(run: Role) -> Role:
         ROLES[name] = run
@@ -50,94 +50,98 @@
     return register
 
 
-@_role(ENTRY)
-async def serve(node: NodeSettings, cfg: Settings) -> int:
-    """Serve callers until a signal comes."""
+@_register_role(ENTRY)
+async def run_entry(node: NodeSettings, cfg: Settings) -> int:
+    """Serve callers until a stop signal; return the exit status."""
     gateway = Gateway(
         InstanceConfig(
             node.instance,
             Topology(node.zone, node.regions),
             node.host,
-            node.callers,
+            node.caller_address,
             node.peer_port,
             node.seeds,
             node.grace,
         ),
         Adapter(
-            ObjectClient(node.store),
+            ObjectClient(node.store_address),
             StoreDocumentDecoder(),
             PlatformDialect(),
             ObjectKinds(CONFIG_KIND, CONFIG_NAME, SERVER_KIND),
         ),
     )
-    readiness = Readiness(lambda: gateway.ready)
-    await start_monitoring_server(readiness.answer, node.readiness)
+    readiness = ReadinessEndpoint(lambda: gateway.ready)
+    await start_monitoring_server(readiness.answer, node.readiness_address)
     if cfg.metrics_port:
         address = Address(node.host, cfg.metrics_port)
         await start_monitoring_server(gateway.metrics.answer, address)
-    root = asyncio.create_task(gateway.run())
-    return await _run_until_stopped(node, root, gateway.stop)
+    root_task = asyncio.create_task(gateway.run())
+    return await _run_until_stopped(node, root_task, gateway.stop)
 
 
 async def _run_until_stopped(
     node: NodeSettings,
-    root: asyncio.Task[None],
+    root_task: asyncio.Task[None],
     stop: Callable[[], Awaitable[int]],
 ) -> int:
-    """Wait for a signal, then stop; return the exit status."""
-    stopped = _stop_signal()
+    """Wait for a stop signal, then stop; return the exit status."""
+    stop_signal = _watch_stop_signals()
     events.emit(events.STARTED, instance=node.instance, zone=node.zone)
-    await asyncio.wait({root, stopped}, return_when=asyncio.FIRST_COMPLETED)
-    if root.done():
+    await asyncio.wait(
+        {root_task, stop_signal}, return_when=asyncio.FIRST_COMPLETED
+    )
+    if root_task.done():
         events.emit(
-            events.CHILD_FAILED, child='root', error=repr(root.exception())
+            events.CHILD_FAILED, child='root', error=repr(root_task.exception())
         )
         return ExitStatus.CHILD_FAILED
-    events.emit(events.STOPPING, signal=stopped.result())
+    events.emit(events.STOPPING, signal=stop_signal.result())
     cut = await stop()
-    root.cancel()
-    await asyncio.wait({root})
+    root_task.cancel()
+    await asyncio.wait({root_task})
     events.emit(events.STOPPED, cut=cut)
     return ExitStatus.CUT_REQUESTS if cut else ExitStatus.SUCCESS
 
 
-@_role(STORAGE)
-async def keep(node: NodeSettings, cfg: Settings) -> int:
-    """Hold nothing, and say so when the instance is to be emptied."""
-    store = ObjectClient(node.store)
+@_register_role(STORAGE)
+async def run_storage(node: NodeSettings, cfg: Settings) -> int:
+    """Store nothing; report instances as empty when asked to empty them."""
+    store = ObjectClient(node.store_address)
     retirement = RetirementResponder(
-        store, RETIREMENT_KIND, node.instance, dict(RETIRED)
+        store, RETIREMENT_KIND, node.instance, dict(RETIRED_STATUS)
     )
     follower = Follower(
         store,
-        WatchSpec(RETIREMENT_KIND, RETIREMENT_REST, RETIREMENT_WAIT),
+        WatchSpec(RETIREMENT_KIND, RETIREMENT_PAUSE, RETIREMENT_WAIT),
         retirement.handlers(),
         random.Random(time.time_ns()),
         WatchGate.always_open(),
     )
     children = (Child('retirement', follower.run),)
-    root = asyncio.create_task(Supervisor(children, time.monotonic).run())
-    return await _run_until_stopped(node, root, _nothing_cut)
+    root_task = asyncio.create_task(Supervisor(children, time.monotonic).run())
+    return await _run_until_stopped(node, root_task, _cut_nothing)
 
 
-async def _nothing_cut() -> int:
+async def _cut_nothing() -> int:
     return 0
 
 
-def _stop_signal() -> asyncio.Future[str]:
+def _watch_stop_signals() -> asyncio.Future[str]:
     loop = asyncio.get_running_loop()
-    stopped: asyncio.Future[str] = loop.create_future()
+    stop_signal: asyncio.Future[str] = loop.create_future()
     for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, _note, stopped, signum.name)
-    # The settings that may change while a process runs are not used again.
-    loop.add_signal_handler(signal.SIGHUP, _note_reload)
-    return stopped
+        loop.add_signal_handler(
+            signum, _set_stop_signal, stop_signal, signum.name
+        )
+    # Settings that may change while a process runs are not read again.
+    loop.add_signal_handler(signal.SIGHUP, _log_reload)
+    return stop_signal
 
 
-def _note(stopped: asyncio.Future[str], name: str) -> None:
-    if not stopped.done():
-        stopped.set_result(name)
+def _set_stop_signal(stop_signal: asyncio.Future[str], name: str) -> None:
+    if not stop_signal.done():
+        stop_signal.set_result(name)
 
 
-def _note_reload() -> None:
+def _log_reload() -> None:
     events.emit(events.SETTINGS_CHANGED)
--- a/gentiantrestle/platform/settings.py
+++ b/gentiantrestle/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into typed settings."""
+"""Reads and checks the settings file that the platform writes."""
 
 import tomllib
 from collections.abc import Mapping
@@ -8,62 +8,64 @@
 from gentiantrestle.models import Address
 
 SETTINGS_VARIABLE = 'GENTIANTRESTLE_SETTINGS'
-REMEDY = 'Have the platform write the settings file anew'
+REMEDY = 'Have the platform write the settings file again'
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; the message names the field."""
+    """The settings file is unusable; the message names the file or field."""
 
 
 class NodeSettings(NamedTuple):
-    """What one process is told about itself; times are in s."""
+    """Settings of one process from the platform; times are in s."""
 
     instance: str
     zone: str
     regions: dict[str, str]
     host: str
-    callers: Address | None
-    readiness: Address | None
+    caller_address: Address | None
+    readiness_address: Address | None
     peer_port: int
     seeds: tuple[str, ...]
-    store: Address
+    store_address: Address
     grace: float
     retires_storage: bool
 
     @classmethod
     def from_file(cls, path: str) -> 'NodeSettings':
-        """Read and check the file; raise ``SettingsError``."""
+        """Read and check a TOML file; raise ``SettingsError``."""
         try:
-            told = tomllib.loads(Path(path).read_text())
+            config = tomllib.loads(Path(path).read_text())
         except (OSError, ValueError) as exc:
             raise SettingsError(f'{path}: {exc}. {REMEDY}.') from exc
-        return cls.from_config(told)
+        return cls.from_config(config)
 
     @classmethod
-    def from_config(cls, told: Mapping[str, Any]) -> 'NodeSettings':
-        """Check the fields that are used; others are ignored."""
+    def from_config(cls, config: Mapping[str, Any]) -> 'NodeSettings':
+        """Check the fields in use, ignore others; raise ``SettingsError``."""
         try:
-            return cls._read(told)
+            return cls._read(config)
         except (LookupError, TypeError, ValueError) as exc:
-            raise SettingsError(f'Field {exc!s} is unfit. {REMEDY}.') from exc
+            raise SettingsError(
+                f'Missing or invalid setting: {exc!s}. {REMEDY}.'
+            ) from exc
 
     @classmethod
-    def _read(cls, told: Mapping[str, Any]) -> 'NodeSettings':
-        listen = told.get('listen', {})
+    def _read(cls, config: Mapping[str, Any]) -> 'NodeSettings':
+        listen = config.get('listen', {})
         return cls(
-            instance=told['node-name'],
-            zone=told['zone'],
-            regions=dict(told['zones']),
-            host=told['ip'],
-            callers=_address(listen.get('front')),
-            readiness=_address(listen.get('ready-addr')),
-            peer_port=int(told['internal-ports'][0]),
+            instance=config['node-name'],
+            zone=config['zone'],
+            regions=dict(config['zones']),
+            host=config['ip'],
+            caller_address=_address(listen.get('front')),
+            readiness_address=_address(listen.get('ready-addr')),
+            peer_port=int(config['internal-ports'][0]),
             seeds=tuple(
-                Address.parse(seed).host for seed in told.get('seeds', ())
+                Address.parse(seed).host for seed in config.get('seeds', ())
             ),
-            store=Address.parse(told['platform']['address']),
-            grace=float(told['bounds']['grace-s']),
-            retires_storage='edge' in told['serves'],
+            store_address=Address.parse(config['platform']['address']),
+            grace=float(config['bounds']['grace-s']),
+            retires_storage='edge' in config['serves'],
         )
 
 
--- a/tests/gateway/test_adapter.py
+++ b/tests/gateway/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, foreign entries, malformed jobs, header fields."""
+"""Platform adapter: settings, store entries, batch jobs, header fields."""
 
 from typing import Any
 
@@ -54,21 +54,23 @@
 }
 
 
-def test_settings_are_typed_and_unknown_fields_ignored() -> None:
+def test_settings_are_decoded_and_unknown_fields_ignored() -> None:
     node = NodeSettings.from_config(SETTINGS)
-    assert node.callers == Address('10.1.0.35', 8144)
+    assert node.caller_address == Address('10.1.0.35', 8144)
     assert node.seeds == ('10.1.0.36',)
     assert node.peer_port == 7660
 
 
 @pytest.mark.parametrize('field', ['node-name', 'zones', 'platform', 'bounds'])
-def test_a_missing_setting_is_named_with_a_remedy(field: str) -> None:
-    told = {name: one for name, one in SETTINGS.items() if name != field}
-    with pytest.raises(SettingsError, match=f'{field}.*settings file anew'):
-        NodeSettings.from_config(told)
+def test_missing_setting_raises_error_with_name_and_remedy(field: str) -> None:
+    config = {
+        name: setting for name, setting in SETTINGS.items() if name != field
+    }
+    with pytest.raises(SettingsError, match=f'{field}.*settings file again'):
+        NodeSettings.from_config(config)
 
 
-def test_a_file_that_can_t_be_read_is_named() -> None:
+def test_unreadable_file_raises_error_with_path() -> None:
     with pytest.raises(SettingsError, match=r'/none\.toml'):
         NodeSettings.from_file('/none.toml')
 
@@ -85,7 +87,7 @@
         {'born': 1.5},
     ],
 )
-def test_an_entry_of_another_writer_names_no_upstream(
+def test_invalid_upstream_entry_decodes_to_none(
     changes: dict[str, Any],
 ) -> None:
     stored = StoredObject('u1', 3, {**ENTRY, **changes})
@@ -93,26 +95,28 @@
 
 
 @pytest.mark.parametrize('content', [None, 7, 'text', [], {}])
-def test_what_is_no_entry_at_all_is_passed_over(content: Any) -> None:
+def test_content_of_wrong_shape_decodes_to_none(content: Any) -> None:
     stored = StoredObject('u1', 3, content)
     assert StoreDocumentDecoder().read_upstream(stored) is None
     assert StoreDocumentDecoder().read_table(stored) is None
 
 
-def test_an_entry_is_decoded() -> None:
+def test_upstream_entry_is_decoded() -> None:
     found = StoreDocumentDecoder().read_upstream(StoredObject('u1', 3, ENTRY))
     assert found is not None
     assert (found.id, found.slots, found.draining) == ('u1', 8, False)
 
 
-def test_a_configuration_is_decoded_into_s() -> None:
+def test_configuration_is_decoded_with_times_in_seconds() -> None:
     found = StoreDocumentDecoder().read_table(StoredObject('main', 3, CONFIG))
     assert found is not None
-    kinds = {one.name: one.kind for one in found.routes}
+    kinds = {route.name: route.kind for route in found.routes}
     assert kinds['chat'] is RouteKind.STREAM
     assert found.routes[0].latency_target == pytest.approx(0.3)
     assert found.limits.idle_timeout == pytest.approx(15)
-    assert not next(one for one in found.routes if one.name == 'pay').idempotent
+    assert not next(
+        route for route in found.routes if route.name == 'pay'
+    ).idempotent
 
 
 @pytest.mark.parametrize(
@@ -127,10 +131,10 @@
         b'{"items":[{"id":"a","path":"/x"},{"id":"a","path":"/x"}]}',
     ],
 )
-def test_a_malformed_job_is_refused_with_a_reason(body: bytes) -> None:
-    with pytest.raises(RefusedError) as caught:
+def test_malformed_job_is_refused_with_status_bad_request(body: bytes) -> None:
+    with pytest.raises(RefusedError) as exc:
         PlatformDialect().read_items(body)
-    assert caught.value.refusal.kind.status == 400
+    assert exc.value.refusal.kind.status == 400
 
 
 def _head(method: str, target: str, *fields: tuple[str, str]) -> h11.Request:
@@ -140,7 +144,7 @@
 
 
 @pytest.mark.parametrize(
-    ('method', 'target', 'wanted'),
+    ('method', 'target', 'expected'),
     [
         (
             'GET',
@@ -153,14 +157,14 @@
         ('POST', '/gentiantrestle/lots/j1', None),
     ],
 )
-def test_calls_on_jobs_are_told_from_requests(
-    method: str, target: str, wanted: object
+def test_job_operation_is_recognized_by_method_and_path(
+    method: str, target: str, expected: object
 ) -> None:
     head = _head(method, target, ('X-Wait-Ms', '1000'))
-    assert PlatformDialect().read_job_operation(head) == wanted
+    assert PlatformDialect().read_job_operation(head) == expected
 
 
-def test_fields_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_fields_are_not_forwarded() -> None:
     head = _head(
         'POST',
         '/chat/1',
@@ -170,9 +174,9 @@
         ('X-Private', '1'),
         ('X-Model', 'm'),
     )
-    one = PlatformDialect().read_request(head, b'', 100)
-    assert one.deadline == pytest.approx(105)
-    sent = PlatformDialect().upstream_headers(one, make_upstream('u1'), 2.5, 4)
+    req = PlatformDialect().read_request(head, b'', 100)
+    assert req.deadline == pytest.approx(105)
+    sent = PlatformDialect().upstream_headers(req, make_upstream('u1'), 2.5, 4)
     assert dict(sent) == {
         b'host': b'x',
         b'x-attempt-id': b'r1',
@@ -183,7 +187,7 @@
     }
 
 
-def test_a_request_without_id_is_refused() -> None:
+def test_request_without_id_is_refused() -> None:
     with pytest.raises(RefusedError):
         PlatformDialect().read_request(_head('GET', '/'), b'', 0)
     assert make_request('r1').id == 'r1'
@@ -206,7 +210,7 @@
         (500, [('X-Server-Stamp', 's')], True, False),
     ],
 )
-def test_only_a_genuine_success_is_passed_on(
+def test_success_is_genuine_only_if_stamped_and_not_encoded(
     status: int,
     fields: list[tuple[str, str]],
     genuine: bool,
@@ -217,7 +221,7 @@
     assert (reply.genuine, reply.not_run) == (genuine, not_run)
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_refusal_has_retry_after_and_run_outcome() -> None:
     refusal = Refusal(OVERLOADED, 'full', 0.25)
     status, headers, body = PlatformDialect().write_refusal(refusal)
     assert (status, dict(headers)[b'retry-after']) == (429, b'0.25')
