--- a/gentiantrestle/gateway/upstream_connection.py
+++ b/gentiantrestle/gateway/upstream_connection.py
@@ -127,4 +127,6 @@
             headers=[*req.headers, length],
         )
     except h11.LocalProtocolError as exc:
-        raise RequestNotSentError(f'the request is not valid HTTP: {exc}') from exc
+        raise RequestNotSentError(
+            f'the request is not valid HTTP: {exc}'
+        ) from exc
