--- a/gentiantrestle/http/messages.py
+++ b/gentiantrestle/http/messages.py
@@ -55,7 +55,9 @@
         async for part in self.body_parts:
             size += len(part)
             if size > limit:
-                raise refuse(TOO_LARGE, f'The body is above {limit} bytes')
+                raise refuse(
+                    TOO_LARGE, f'The request body exceeds {limit} bytes'
+                )
             yield part
 
     async def read_json(self, limit: int) -> dict[str, Any]:
--- a/gentiantrestle/http/server.py
+++ b/gentiantrestle/http/server.py
@@ -101,6 +101,6 @@
         except Exception as exc:  # noqa: BLE001 (answered and logged)
             events.emit(events.REQUEST_FAILED, error=repr(exc))
             failure = refuse(
-                INTERNAL, 'Internal error while handling the request'
+                INTERNAL, 'The request failed with an internal error'
             )
             return refusal_response(failure.refusal)
