--- a/gentiantrestle/cli/core.py
+++ b/gentiantrestle/cli/core.py
@@ -7,12 +7,12 @@
 from absl import flags
 
 from gentiantrestle.cli import configuration, jobs
-from gentiantrestle.cli.definition import OPTIONS, USAGE, CliOption
+from gentiantrestle.cli.options import OPTIONS, USAGE, CliOption
 from gentiantrestle.cli.registry import COMMANDS, Session, find
 from gentiantrestle.errors import CONFLICT, KEY_REUSED
+from gentiantrestle.exit_status import ExitStatus
 from gentiantrestle.library import Connection, Failure, UnreachableError
 from gentiantrestle.output.printers import HumanPrinter, JsonPrinter, Printer
-from gentiantrestle.status import ExitStatus
 
 COMMAND_MODULES = (configuration, jobs)
 CONFLICTS = frozenset((CONFLICT.name, KEY_REUSED.name))
--- a/gentiantrestle/config.py
+++ b/gentiantrestle/config.py
@@ -6,8 +6,8 @@
 
 from absl import flags
 
-from gentiantrestle.definition import OPTIONS, Option
 from gentiantrestle.models import Address
+from gentiantrestle.options import OPTIONS, Option
 
 TRUE_WORDS = frozenset(('1', 'true', 'yes', 'on'))
 FALSE_WORDS = frozenset(('0', 'false', 'no', 'off', ''))
@@ -25,7 +25,7 @@
     remedy: str
 
 
-class Chosen(NamedTuple):
+class SettingValue(NamedTuple):
     """A setting in force and the place it came from."""
 
     option: Option
@@ -33,7 +33,7 @@
     source: str
 
     @property
-    def shown(self) -> str:
+    def display_text(self) -> str:
         """Give the text to print; secrets stay hidden."""
         if self.option.secret and self.value:
             return HIDDEN
@@ -43,9 +43,9 @@
 class Settings:
     """Checked settings; each option is an attribute."""
 
-    def __init__(self, chosen: Sequence[Chosen]) -> None:
+    def __init__(self, chosen: Sequence[SettingValue]) -> None:
         """Keep what was chosen, by option name."""
-        self.chosen = tuple(chosen)
+        self.setting_values = tuple(chosen)
         self._by_name = {one.option.name: one.value for one in chosen}
 
     def __getattr__(self, name: str) -> Any:
@@ -119,20 +119,20 @@
     given_flags: Mapping[str, str],
     environ: Mapping[str, str],
     problems: list[SettingProblem],
-) -> Chosen:
+) -> SettingValue:
     source, raw = _find_raw(option, given_flags, environ)
     if raw is None:
         problems.extend(_check_missing(option))
-        return Chosen(option, option.default, source)
+        return SettingValue(option, option.default, source)
     try:
         parsed = _parse(option, raw)
     except ValueError as exc:
         problems.append(_problem(option, source, str(exc)))
-        return Chosen(option, option.default, source)
+        return SettingValue(option, option.default, source)
     problems.extend(
         _problem(option, source, reason) for reason in _faults(option, parsed)
     )
-    return Chosen(option, parsed, source)
+    return SettingValue(option, parsed, source)
 
 
 def _find_raw(
--- a/gentiantrestle/core.py
+++ b/gentiantrestle/core.py
@@ -13,8 +13,8 @@
 from gentiantrestle.config import SettingProblem, Settings, define_flags
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.tree import Tree
-from gentiantrestle.status import ExitStatus
-from gentiantrestle.supervisor import GaveUpError
+from gentiantrestle.exit_status import ExitStatus
+from gentiantrestle.supervisor import RestartLimitError
 
 CHECK = 'check'
 HELP = 'help'
@@ -106,7 +106,7 @@
 
 def _explain(root: asyncio.Task[None]) -> ExitStatus:
     exc = root.exception()
-    if isinstance(exc, ExceptionGroup) and exc.subgroup(GaveUpError):
+    if isinstance(exc, ExceptionGroup) and exc.subgroup(RestartLimitError):
         return ExitStatus.CHILD_FAILED
     events.emit(events.CHILD_FAILED, child='root', error=repr(exc))
     return ExitStatus.ERROR
@@ -119,9 +119,9 @@
 
 
 def _show(cfg: Settings) -> ExitStatus:
-    for chosen in cfg.chosen:
+    for chosen in cfg.setting_values:
         name = chosen.option.name
-        sys.stdout.write(f'{name} = {chosen.shown}  ({chosen.source})\n')
+        sys.stdout.write(f'{name} = {chosen.display_text}  ({chosen.source})\n')
     return ExitStatus.SUCCESS
 
 
--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -22,8 +22,8 @@
 from gentiantrestle.errors import (
     KEY_REUSED,
     OVERLOADED,
+    STORE_OUTCOME_UNKNOWN,
     STORE_UNAVAILABLE,
-    STORE_UNSURE,
     RefusedError,
     refuse,
 )
@@ -139,7 +139,7 @@
             raise _unavailable() from None
         except StoreUnsureError:
             raise refuse(
-                STORE_UNSURE,
+                STORE_OUTCOME_UNKNOWN,
                 'The store did not say whether the job was accepted',
                 RETRY_AFTER,
             ) from None
--- a/gentiantrestle/daemon/batch/client_jobs.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -22,8 +22,8 @@
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.errors import (
     NOT_FOUND,
+    STORE_OUTCOME_UNKNOWN,
     STORE_UNAVAILABLE,
-    STORE_UNSURE,
     Refusal,
     RefusedError,
     refuse,
@@ -119,7 +119,9 @@
                 )
             if await self._write(wanted, found.version):
                 return job_status(wanted, wanted['done'], wanted['failed'])
-        raise refuse(STORE_UNSURE, 'The job kept changing', RETRY_AFTER)
+        raise refuse(
+            STORE_OUTCOME_UNKNOWN, 'The job kept changing', RETRY_AFTER
+        )
 
     async def _write(self, job: JobRecord, version: int) -> bool:
         name = job_name(job['id'])
@@ -129,7 +131,7 @@
             raise unavailable() from None
         except StoreUnsureError:
             raise refuse(
-                STORE_UNSURE,
+                STORE_OUTCOME_UNKNOWN,
                 'The store did not say whether the job was cancelled',
                 RETRY_AFTER,
             ) from None
--- a/gentiantrestle/daemon/batch/run.py
+++ b/gentiantrestle/daemon/batch/run.py
@@ -30,7 +30,7 @@
 from gentiantrestle.errors import (
     TOO_LARGE,
     UPSTREAM_FAILED,
-    UPSTREAM_UNSURE,
+    UPSTREAM_OUTCOME_UNKNOWN,
     Refusal,
 )
 from gentiantrestle.store.client import (
@@ -106,7 +106,7 @@
     def _settle_unknown(self, position: int) -> None:
         item = ItemRun(self._tools, self._held, position)
         refusal = Refusal(
-            UPSTREAM_UNSURE,
+            UPSTREAM_OUTCOME_UNKNOWN,
             'The holder was lost after it had started this item',
         )
         self._unsaved[position] = item.failure(refusal)
@@ -135,7 +135,7 @@
         if ended.outcome is not Outcome.LOST:
             return None
         if not self._held.job['repeatable']:
-            return Refusal(UPSTREAM_UNSURE, ended.reason)
+            return Refusal(UPSTREAM_OUTCOME_UNKNOWN, ended.reason)
         if attempts >= MAX_ATTEMPTS:
             return Refusal(
                 UPSTREAM_FAILED,
@@ -267,7 +267,7 @@
 
     async def _wait_for_store(self) -> None:
         events.emit(
-            events.RESULTS_HELD,
+            events.RESULTS_UNSAVED,
             count=len(self._unsaved),
             chunk=self.name,
         )
--- a/gentiantrestle/daemon/configuration/admin.py
+++ b/gentiantrestle/daemon/configuration/admin.py
@@ -10,8 +10,8 @@
     BAD_SETTINGS,
     CONFLICT,
     NOT_FOUND,
+    STORE_OUTCOME_UNKNOWN,
     STORE_UNAVAILABLE,
-    STORE_UNSURE,
     Refusal,
     refuse,
 )
@@ -80,7 +80,7 @@
             )
         except StoreUnsureError:
             return Refusal(
-                STORE_UNSURE,
+                STORE_OUTCOME_UNKNOWN,
                 'The store did not say whether the change was made; read '
                 'the revision in force',
                 RETRY_AFTER,
--- a/gentiantrestle/daemon/configuration/service.py
+++ b/gentiantrestle/daemon/configuration/service.py
@@ -85,7 +85,7 @@
         while True:
             relay = self.is_relay()
             if relay and not was_relay:
-                events.emit(events.RELAY_TAKEN)
+                events.emit(events.RELAY_ROLE_ACQUIRED)
             was_relay = relay
             try:
                 await self._follow_once(relay=relay)
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -23,7 +23,7 @@
     CUT_SHORT,
     NO_UPSTREAM,
     UPSTREAM_FAILED,
-    UPSTREAM_UNSURE,
+    UPSTREAM_OUTCOME_UNKNOWN,
     ErrorKind,
     Refusal,
 )
@@ -110,7 +110,7 @@
             ) from exc
         except (LostError, TimeoutError) as exc:
             raise self._record_failure(
-                Stage.SENT, UPSTREAM_UNSURE, exc
+                Stage.SENT, UPSTREAM_OUTCOME_UNKNOWN, exc
             ) from exc
         if answer.status >= SERVER_ERROR:
             raise await self._error_from(answer)
@@ -126,7 +126,7 @@
                 body = await answer.read()
         except (LostError, TimeoutError) as exc:
             raise self._record_failure(
-                Stage.SENT, UPSTREAM_UNSURE, exc
+                Stage.SENT, UPSTREAM_OUTCOME_UNKNOWN, exc
             ) from exc
         finally:
             self.upstream.pool.release(answer)
@@ -157,7 +157,9 @@
             self.upstream.health.record_success()
             return
         if not monitor.event_count:
-            raise self._record_failure(Stage.SENT, UPSTREAM_UNSURE, error)
+            raise self._record_failure(
+                Stage.SENT, UPSTREAM_OUTCOME_UNKNOWN, error
+            )
         failure = self._record_failure(Stage.ANSWERING, CUT_SHORT, error)
         events.emit(events.ANSWER_CUT, attempt=self.attempt_id, error=error)
         yield _error_event(failure.refusal)
--- a/gentiantrestle/errors.py
+++ b/gentiantrestle/errors.py
@@ -91,7 +91,7 @@
     405,
     'Use a method that the Allow header names.',
 )
-TIMED_OUT = ErrorKind(
+REQUEST_TIMEOUT = ErrorKind(
     'request_timeout',
     408,
     'Send the whole request without long pauses.',
@@ -143,7 +143,7 @@
     503,
     'Nothing was accepted; send again after Retry-After.',
 )
-STORE_UNSURE = ErrorKind(
+STORE_OUTCOME_UNKNOWN = ErrorKind(
     'store_unsure',
     503,
     'Send the same request with the same Idempotency-Key; it is settled '
@@ -155,7 +155,7 @@
     503,
     'This instance is stopping; send again, another one will answer.',
 )
-UPSTREAM_UNSURE = ErrorKind(
+UPSTREAM_OUTCOME_UNKNOWN = ErrorKind(
     'outcome_unknown',
     502,
     'The upstream was lost after the request was sent; check its effect '
--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -206,7 +206,7 @@
         known = self._roster.usable_upstreams(slot_request.service, now)
         delay = retry_after_seconds(expected, req, now)
         events.emit(
-            events.CALL_REFUSED,
+            events.REQUEST_REFUSED,
             request=req.id,
             service=slot_request.service,
             upstreams=len(known),
@@ -230,7 +230,7 @@
     ) -> None:
         load = self._board.total_load(upstream.id, now)
         events.emit(
-            events.CALL_PLACED,
+            events.REQUEST_PLACED,
             request=slot_request.request.id,
             upstream=upstream.id,
             online=load.online,
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -10,7 +10,7 @@
     OVERLOADED,
     STORE_UNAVAILABLE,
     TOO_LARGE,
-    UPSTREAM_UNSURE,
+    UPSTREAM_OUTCOME_UNKNOWN,
     refuse,
 )
 from gentiantrestle.gateway.batch.context import BatchContext
@@ -114,8 +114,7 @@
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
         except StoreUnsureError as exc:
-            raise refuse(
-                UPSTREAM_UNSURE, f'The store did not confirm the job: {exc}'
+            raise refuse(UPSTREAM_OUTCOME_UNKNOWN, f'The store did not confirm the job: {exc}'
             ) from exc
         events.emit(
             events.JOB_ACCEPTED, job=job.id, items=len(job.items), new=new
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -174,7 +174,7 @@
         try:
             await self._set_state(job_id, DONE)
         except (StoreUnavailableError, StoreUnsureError) as exc:
-            events.emit(events.WRITE_FAILED, name=job_id, error=repr(exc))
+            events.emit(events.STORE_CALL_FAILED, name=job_id, error=repr(exc))
 
     async def refresh(self, entry: JobEntry) -> None:
         """Read the chunks of a job's results that aren't known here.
@@ -211,10 +211,10 @@
                 await self._write_chunk(entry, new)
             except (StoreUnavailableError, StoreUnsureError) as exc:
                 events.emit(
-                    events.RESULTS_HELD, count=len(new), chunk=entry.job.id
+                    events.RESULTS_UNSAVED, count=len(new), chunk=entry.job.id
                 )
                 events.emit(
-                    events.WRITE_FAILED, name=entry.job.id, error=repr(exc)
+                    events.STORE_CALL_FAILED, name=entry.job.id, error=repr(exc)
                 )
                 await asyncio.sleep(backoff.next_pause())
 
@@ -226,7 +226,7 @@
         try:
             entry = await self.find(job.id)
         except StoreUnavailableError as exc:
-            events.emit(events.WRITE_FAILED, name=job.id, error=repr(exc))
+            events.emit(events.STORE_CALL_FAILED, name=job.id, error=repr(exc))
             return
         if entry is not None and entry.job.acceptor == job.acceptor:
             entry.load_bodies(job.items)
--- a/gentiantrestle/gateway/batch/result_reader.py
+++ b/gentiantrestle/gateway/batch/result_reader.py
@@ -55,7 +55,9 @@
         try:
             await self._job_store.refresh(entry)
         except StoreUnavailableError as exc:
-            events.emit(events.WRITE_FAILED, name=entry.job.id, error=repr(exc))
+            events.emit(
+                events.STORE_CALL_FAILED, name=entry.job.id, error=repr(exc)
+            )
             return False
         return True
 
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -170,7 +170,7 @@
     def _note_takeover(self, entry: JobEntry) -> None:
         acceptor = entry.job.acceptor
         if acceptor != self._instance and acceptor not in self.taken_over:
-            events.emit(events.JOBS_TAKEN, run=acceptor)
+            events.emit(events.JOBS_TAKEN_OVER, run=acceptor)
             self.taken_over.append(acceptor)
 
     def _catch_up(self, entry: JobEntry) -> None:
@@ -185,7 +185,9 @@
             if entry.open:
                 await self._context.job_store.load_bodies(entry)
         except StoreUnavailableError as exc:
-            events.emit(events.WRITE_FAILED, name=entry.job.id, error=repr(exc))
+            events.emit(
+                events.STORE_CALL_FAILED, name=entry.job.id, error=repr(exc)
+            )
             await asyncio.sleep(RETRY_DELAY)
         finally:
             self._catching_up.discard(entry.job.id)
--- a/gentiantrestle/gateway/definition.py
+++ b/gentiantrestle/gateway/definition.py
@@ -1,6 +1,6 @@
 """Settings of the gateway; the platform gives its location and addresses."""
 
-from gentiantrestle.definition import MAX_PORT, Option
+from gentiantrestle.options import MAX_PORT, Option
 
 DEFAULT_METRICS_PORT = 9464
 OPTIONS = (
--- a/gentiantrestle/gateway/fleet_state.py
+++ b/gentiantrestle/gateway/fleet_state.py
@@ -142,7 +142,7 @@
         entries = self.roster.entries()
         draining = sum(upstream.draining for upstream in entries)
         events.emit(
-            events.ROSTER_CHANGED,
+            events.UPSTREAMS_CHANGED,
             revision=revision,
             ready=len(entries) - draining,
             draining=draining,
--- a/gentiantrestle/gateway/follower.py
+++ b/gentiantrestle/gateway/follower.py
@@ -161,7 +161,7 @@
 
     def _note_disconnected(self, exc: Exception) -> None:
         if self.connected:
-            events.emit(events.FOLLOW_LOST, kind=self._kind, error=repr(exc))
+            events.emit(events.WATCH_LOST, kind=self._kind, error=repr(exc))
         self.connected = False
         self._handlers.disconnected()
 
@@ -169,7 +169,7 @@
         self._backoff.reset()
         if not self.connected:
             events.emit(
-                events.FOLLOW_BACK,
+                events.WATCH_CONNECTED,
                 kind=self._kind,
                 revision=self._revision or 0,
             )
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -8,7 +8,7 @@
 from gentiantrestle.errors import (
     ANSWER_TIMEOUT,
     NO_UPSTREAM,
-    UPSTREAM_UNSURE,
+    UPSTREAM_OUTCOME_UNKNOWN,
     RefusedError,
     refuse,
 )
@@ -145,7 +145,7 @@
                 self._exchange.abort()
             if not self._progress.runs:
                 raise
-            raise refuse(UPSTREAM_UNSURE, exc.refusal.reason) from exc
+            raise refuse(UPSTREAM_OUTCOME_UNKNOWN, exc.refusal.reason) from exc
         self._tried |= {lease.upstream.id}
         return lease
 
@@ -176,7 +176,7 @@
             return refuse(NO_UPSTREAM, self.reason, delay)
         if outcome is AttemptOutcome.EXPIRED:
             return refuse(ANSWER_TIMEOUT, self.reason)
-        return refuse(UPSTREAM_UNSURE, self.reason)
+        return refuse(UPSTREAM_OUTCOME_UNKNOWN, self.reason)
 
     async def _run_attempt(self, lease: SlotLease) -> AttemptOutcome:
         conn = UpstreamConnection(self._context.dialect)
--- a/gentiantrestle/gateway/http_server.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -12,7 +12,7 @@
     BAD_REQUEST,
     HEADERS_TOO_LARGE,
     INTERNAL,
-    TIMED_OUT,
+    REQUEST_TIMEOUT,
     TOO_LARGE,
     Refusal,
     RefusedError,
@@ -195,7 +195,7 @@
                 event = await self._read_event(link)
         except TimeoutError:
             raise refuse(
-                TIMED_OUT, 'The request header was not complete in time'
+                REQUEST_TIMEOUT, 'The request header was not complete in time'
             ) from None
         return event if isinstance(event, h11.Request) else None
 
@@ -273,7 +273,9 @@
     async def _send_refusal(self, link: Link, refusal: Refusal) -> None:
         """Refuse an invalid or incomplete request and close."""
         status, headers, body = self._write_refusal(refusal)
-        events.emit(events.CALLER_REFUSED, status=status, reason=refusal.reason)
+        events.emit(
+            events.BAD_REQUEST_REFUSED, status=status, reason=refusal.reason
+        )
         fields = [
             *headers,
             CONNECTION_CLOSE,
--- a/gentiantrestle/gateway/request_handler.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -120,7 +120,7 @@
         name = route.name if route else ''
         self.record_request(name, outcome, seconds)
         events.emit(
-            events.CALL_ENDED,
+            events.REQUEST_ENDED,
             request=req.id,
             route=name,
             version=self._router.table.version,
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -67,10 +67,10 @@
                 self._kind, stored, self._completed
             )
         except (StoreUnavailableError, StoreUnsureError) as exc:
-            events.emit(events.WRITE_FAILED, name=name, error=repr(exc))
+            events.emit(events.STORE_CALL_FAILED, name=name, error=repr(exc))
             return False
         if done:
-            events.emit(events.INSTANCE_EMPTY, instance=name)
+            events.emit(events.INSTANCE_RETIRED, instance=name)
         return done
 
 
--- a/gentiantrestle/gateway/retrying_store.py
+++ b/gentiantrestle/gateway/retrying_store.py
@@ -92,8 +92,10 @@
                 if unsure is None:
                     raise
                 await asyncio.sleep(timeout)
-                events.emit(events.WRITE_FAILED, name=name, error=repr(exc))
+                events.emit(
+                    events.STORE_CALL_FAILED, name=name, error=repr(exc)
+                )
             except (StoreUnsureError, TimeoutError) as exc:
                 unsure = StoreUnsureError(repr(exc))
-                events.emit(events.WRITE_UNSURE, name=name)
+                events.emit(events.WRITE_UNANSWERED, name=name)
         raise unsure
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -197,7 +197,7 @@
         )
         if duty == self._watch_gate.is_set():
             return
-        events.emit(events.DUTY_CHANGED, held=duty)
+        events.emit(events.WATCHER_ROLE_CHANGED, held=duty)
         if duty:
             self._watch_gate.set()
         else:
--- a/gentiantrestle/http/connection.py
+++ b/gentiantrestle/http/connection.py
@@ -11,7 +11,7 @@
 from gentiantrestle.errors import (
     BAD_REQUEST,
     HEADERS_TOO_LARGE,
-    TIMED_OUT,
+    REQUEST_TIMEOUT,
     RefusedError,
     refuse,
 )
@@ -104,7 +104,9 @@
         except TimeoutError:
             if not self._h11.trailing_data[0] and stopping is not None:
                 raise ClosedError('idle') from None
-            raise refuse(TIMED_OUT, 'The request came too slowly') from None
+            raise refuse(
+                REQUEST_TIMEOUT, 'The request came too slowly'
+            ) from None
         except ConnectionError as exc:
             raise ClosedError('reset') from exc
         self._h11.receive_data(received)
--- a/gentiantrestle/logsink.py
+++ b/gentiantrestle/logsink.py
@@ -11,11 +11,11 @@
 
 # What a reader may lag behind before lines are dropped: some seconds of a
 # loaded entry's log.
-MAX_BUFFER = 1048576  # bytes
+MAX_BUFFER_BYTES = 1048576  # bytes
 BATCH = 65536  # bytes in one write
 
 
-class LineSink:
+class JsonLineSink:
     """A bounded buffer before a non-blocking descriptor."""
 
     def __init__(self, descriptor: int) -> None:
@@ -31,7 +31,7 @@
     def __call__(self, message: Any) -> None:
         """Take one record; drop it when the buffer is full."""
         line = encode_record(message.record)
-        if self._size + len(line) > MAX_BUFFER:
+        if self._size + len(line) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self._lines.append(line)
--- a/gentiantrestle/platform/__main__.py
+++ b/gentiantrestle/platform/__main__.py
@@ -8,15 +8,15 @@
 
 from gentiantrestle import events
 from gentiantrestle.config import Settings, define_flags
+from gentiantrestle.exit_status import ExitStatus
 from gentiantrestle.gateway.definition import OPTIONS
-from gentiantrestle.logsink import LineSink
+from gentiantrestle.logsink import JsonLineSink
 from gentiantrestle.platform.roles import ROLES
 from gentiantrestle.platform.settings import (
     SETTINGS_VARIABLE,
     NodeSettings,
     SettingsError,
 )
-from gentiantrestle.status import ExitStatus
 
 USAGE = 'usage: python3 -m gentiantrestle.platform ROLE; roles: '
 
@@ -36,7 +36,9 @@
     cfg = Settings.from_sources(given, os.environ, OPTIONS)
     if isinstance(cfg, list):
         return _refuse(' '.join(f'{one.reason}. {one.remedy}' for one in cfg))
-    events.configure_sink(cfg.gateway_log_level, LineSink(sys.stdout.fileno()))
+    events.configure_sink(
+        cfg.gateway_log_level, JsonLineSink(sys.stdout.fileno())
+    )
     return uvloop.run(ROLES[words[0]](node, cfg))
 
 
--- a/gentiantrestle/platform/objects.py
+++ b/gentiantrestle/platform/objects.py
@@ -124,7 +124,7 @@
             return answer.status, msgspec.json.decode(received or b'null')
         if answer.status not in NOT_DONE:
             events.emit(
-                events.STORE_ODD,
+                events.STORE_UNEXPECTED_STATUS,
                 status=answer.status,
                 call=f'{method} {path}',
                 answer=received[:MAX_SHOWN].decode(errors='replace'),
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -8,6 +8,7 @@
 
 from gentiantrestle import events
 from gentiantrestle.config import Settings
+from gentiantrestle.exit_status import ExitStatus
 from gentiantrestle.gateway.assembly import InstanceConfig
 from gentiantrestle.gateway.follower import Follower, WatchGate, WatchSpec
 from gentiantrestle.gateway.monitoring import start_monitoring_server
@@ -28,7 +29,6 @@
 from gentiantrestle.platform.objects import ObjectClient
 from gentiantrestle.platform.readiness import Readiness
 from gentiantrestle.platform.settings import NodeSettings
-from gentiantrestle.status import ExitStatus
 from gentiantrestle.supervisor import Child, Supervisor
 
 ENTRY = 'entry'
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -155,7 +155,7 @@
             if first:
                 raise
         except StoreUnsureError:
-            events.emit(events.WRITE_UNSURE, name=name)
+            events.emit(events.WRITE_UNANSWERED, name=name)
         return None
 
     async def _settle(
@@ -173,7 +173,7 @@
             raise StoreUnsureError(name) from exc
         mine = found is not None and found.document[TOKEN] == written[TOKEN]
         outcome = 'done' if mine else 'conflict'
-        events.emit(events.WRITE_SETTLED, name=name, outcome=outcome)
+        events.emit(events.WRITE_OUTCOME_RESOLVED, name=name, outcome=outcome)
         if mine:
             return found
         return Conflict(name, f'{name} was changed by another writer')
@@ -228,9 +228,9 @@
 
     def _note(self, *, reachable: bool, error: str = '') -> None:
         if reachable and not self.reachable:
-            events.emit(events.STORE_BACK)
+            events.emit(events.STORE_RECOVERED)
         if self.reachable and not reachable:
-            events.emit(events.STORE_DOWN, error=error)
+            events.emit(events.STORE_UNREACHABLE, error=error)
         self.reachable = reachable
 
 
--- a/gentiantrestle/supervisor.py
+++ b/gentiantrestle/supervisor.py
@@ -20,14 +20,14 @@
     run: Callable[[], Awaitable[None]]
 
 
-class RestartRule:
+class RestartPolicy:
     """Decides what follows a child's failure."""
 
     def __init__(self) -> None:
         """Start with no failure seen."""
         self._failures: deque[float] = deque()
 
-    def decide(self, now: float) -> float | None:
+    def next_delay(self, now: float) -> float | None:
         """Return the delay before a restart in s, or None to give up."""
         self._failures.append(now)
         while now - self._failures[0] > RESTART_PERIOD:
@@ -38,7 +38,7 @@
         return min(MAX_DELAY, FIRST_DELAY * 2 ** (count - 1))
 
 
-class GaveUpError(Exception):
+class RestartLimitError(Exception):
     """A child failed more often than its rule allows."""
 
 
@@ -61,7 +61,7 @@
                 group.create_task(self._keep(child), name=child.name)
 
     async def _keep(self, child: Child) -> None:
-        rule = RestartRule()
+        rule = RestartPolicy()
         while True:
             try:
                 await child.run()
@@ -73,13 +73,13 @@
     async def _recover(
         self,
         child: Child,
-        rule: RestartRule,
+        rule: RestartPolicy,
         exc: Exception,
     ) -> None:
         events.emit(events.CHILD_FAILED, child=child.name, error=repr(exc))
-        delay = rule.decide(self._now())
+        delay = rule.next_delay(self._now())
         if delay is None:
-            events.emit(events.CHILD_GAVE_UP, child=child.name)
-            raise GaveUpError(child.name) from exc
+            events.emit(events.CHILD_ABANDONED, child=child.name)
+            raise RestartLimitError(child.name) from exc
         events.emit(events.CHILD_RESTARTED, child=child.name, delay=delay)
         await asyncio.sleep(delay)
--- a/tests/decisions/test_configuration.py
+++ b/tests/decisions/test_configuration.py
@@ -168,7 +168,9 @@
 def test_secrets_are_not_shown() -> None:
     secret = '0' * 64
     cfg = Settings.from_sources({**GIVEN, 'admin_key_hash': secret}, {})
-    assert secret not in ' '.join(chosen.shown for chosen in cfg.chosen)
+    assert secret not in ' '.join(
+        chosen.display_text for chosen in cfg.setting_values
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_supervisor.py
+++ b/tests/decisions/test_supervisor.py
@@ -7,22 +7,22 @@
 from gentiantrestle.supervisor import (
     FIRST_DELAY,
     Child,
-    GaveUpError,
-    RestartRule,
+    RestartLimitError,
+    RestartPolicy,
     Supervisor,
 )
 
 
 def test_delays_grow_until_the_rule_gives_up() -> None:
-    rule = RestartRule()
-    delays = [rule.decide(at) for at in range(6)]
+    rule = RestartPolicy()
+    delays = [rule.next_delay(at) for at in range(6)]
     assert delays == [0.1, 0.2, 0.4, 0.8, 1.6, None]
 
 
 def test_old_failures_are_forgotten() -> None:
-    rule = RestartRule()
+    rule = RestartPolicy()
     for at in range(0, 1000, 61):
-        assert rule.decide(at) == FIRST_DELAY
+        assert rule.next_delay(at) == FIRST_DELAY
 
 
 async def test_a_failed_child_runs_again() -> None:
@@ -49,4 +49,4 @@
     supervisor = Supervisor(children, lambda: next(times))
     with pytest.raises(ExceptionGroup) as caught:
         await supervisor.run()
-    assert caught.group_contains(GaveUpError)
+    assert caught.group_contains(RestartLimitError)
--- a/tests/gateway/test_logsink.py
+++ b/tests/gateway/test_logsink.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from gentiantrestle.logsink import MAX_BUFFER, LineSink
+from gentiantrestle.logsink import MAX_BUFFER_BYTES, JsonLineSink
 
 LINE = 'x' * 1000
-LINES = 3 * MAX_BUFFER // len(LINE)
+LINES = 3 * MAX_BUFFER_BYTES // len(LINE)
 
 
 class _Level:
@@ -29,7 +29,7 @@
 
 async def test_sink_drops_lines_instead_of_blocking_on_full_pipe() -> None:
     reader, writer = os.pipe()
-    sink = LineSink(writer)
+    sink = JsonLineSink(writer)
     for _ in range(LINES):
         sink(_Message(LINE))
     assert sink.dropped > 0
--- a/tests/interfaces/test_cli.py
+++ b/tests/interfaces/test_cli.py
@@ -7,11 +7,11 @@
 import pytest
 
 from gentiantrestle.cli.core import run
-from gentiantrestle.cli.definition import OPTIONS
+from gentiantrestle.cli.options import OPTIONS
 from gentiantrestle.core import run as run_daemon
-from gentiantrestle.definition import OPTIONS as SETTINGS
+from gentiantrestle.exit_status import ExitStatus
 from gentiantrestle.library import Operator
-from gentiantrestle.status import ExitStatus
+from gentiantrestle.options import OPTIONS as SETTINGS
 from tests.utils.fleet import CLIENT_KEY, OPERATOR_KEY, job_lines
 from tests.utils.ports import HOST, free_ports
 from tests.utils.world import World
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from gentiantrestle import errors, events
-from gentiantrestle.definition import OPTIONS
+from gentiantrestle.options import OPTIONS
 
 DOCS = Path(__file__).parent.parent / 'docs'
 
