--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several tests share."""
+"""Fixtures shared by tests of several folders."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from pathlib import Path
@@ -15,7 +15,7 @@
 async def start_fleet(
     tmp_path: Path,
 ) -> AsyncIterator[StartFleet]:
-    """Start fleets of processes; all of them are ended after the test."""
+    """Return a function that starts a fleet; stop all fleets at the end."""
     fleets: list[Fleet] = []
 
     async def start(
--- a/tests/decisions/test_supervisor.py
+++ b/tests/decisions/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Supervisors: restart with backoff, or give up by the stated rule."""
+"""Supervisor: restarts with backoff, up to the restart limit."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 )
 
 
-def test_delays_grow_until_the_rule_gives_up() -> None:
-    rule = RestartPolicy()
-    delays = [rule.next_delay(at) for at in range(6)]
+def test_restart_delay_doubles_until_the_limit() -> None:
+    policy = RestartPolicy()
+    delays = [policy.next_delay(failed_at) for failed_at in range(6)]
     assert delays == [0.1, 0.2, 0.4, 0.8, 1.6, None]
 
 
-def test_old_failures_are_forgotten() -> None:
-    rule = RestartPolicy()
-    for at in range(0, 1000, 61):
-        assert rule.next_delay(at) == FIRST_DELAY
+def test_failures_before_the_period_do_not_count() -> None:
+    policy = RestartPolicy()
+    for failed_at in range(0, 1000, 61):
+        assert policy.next_delay(failed_at) == FIRST_DELAY
 
 
-async def test_a_failed_child_runs_again() -> None:
+async def test_failed_child_is_restarted() -> None:
     runs = []
 
     async def fail_once() -> None:
@@ -38,7 +38,7 @@
     assert len(runs) == 2
 
 
-async def test_a_hopeless_child_takes_the_others_down() -> None:
+async def test_child_over_the_limit_ends_the_supervisor() -> None:
     forever = asyncio.Event()
 
     async def fail() -> None:
--- a/tests/interfaces/test_cli.py
+++ b/tests/interfaces/test_cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool: what it prints and how it exits."""
+"""Output and exit statuses of the command-line tool and the daemon."""
 
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -16,20 +16,20 @@
 from tests.utils.ports import HOST, free_ports
 from tests.utils.world import World
 
-Tool = Callable[..., ExitStatus]
+RunTool = Callable[..., ExitStatus]
 
 
 @pytest.fixture(scope='module')
 def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
-    """Share one fleet between the tests."""
+    """Run one fleet for all tests of this module."""
     shared = World(tmp_path_factory.mktemp('cli'))
     yield shared
     shared.close()
 
 
 @pytest.fixture
-def tool(world: World) -> Tool:
-    """Run the tool against the fleet."""
+def run_tool(world: World) -> RunTool:
+    """Return a function that runs the tool against the fleet."""
 
     def call(*words: str, key: str = CLIENT_KEY) -> ExitStatus:
         environ = {
@@ -41,13 +41,15 @@
     return call
 
 
-def test_help_names_every_option(capsys: pytest.CaptureFixture[str]) -> None:
+def test_tool_help_lists_every_option(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert run(['gentiantrestle', '--help'], {}) is ExitStatus.SUCCESS
     printed = capsys.readouterr().out
     assert all(f'--{option.name}' in printed for option in OPTIONS)
 
 
-def test_help_of_the_daemon_names_every_setting(
+def test_daemon_help_lists_every_setting(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     assert run_daemon(['gentiantrestled', '--help'], {}) == ExitStatus.SUCCESS
@@ -55,7 +57,7 @@
     assert all(f'--{option.name}' in printed for option in SETTINGS)
 
 
-def test_daemon_lists_all_wrong_settings(
+def test_daemon_reports_every_invalid_setting(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     argv = ['gentiantrestled', '--http_port=0', '--zone=z']
@@ -66,7 +68,7 @@
     )
 
 
-def test_check_shows_where_settings_come_from(
+def test_check_prints_sources_and_hides_secrets(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     argv = ['gentiantrestled', '--check', '--zone=z', '--region=r']
@@ -100,40 +102,40 @@
         (('complete', 'none', 'hi'), CLIENT_KEY, ExitStatus.REFUSED),
     ],
 )
-def test_exit_statuses(
-    tool: Tool,
+def test_command_exits_with_status(
+    run_tool: RunTool,
     words: tuple[str, ...],
     key: str,
     status: ExitStatus,
 ) -> None:
-    assert tool(*words, key=key) is status
+    assert run_tool(*words, key=key) is status
 
 
-def test_unreachable_instance_has_its_own_status() -> None:
+def test_unreachable_instance_exits_with_unreachable() -> None:
     environ = {'GENTIANTRESTLE_SERVER': f'{HOST}:{free_ports(1)[0]}'}
     argv = ['gentiantrestle', 'status']
     assert run(argv, environ) is ExitStatus.UNREACHABLE
 
 
-def test_job_from_submission_to_results(
-    tool: Tool,
+def test_same_file_is_one_job_that_completes(
+    run_tool: RunTool,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     lines = tmp_path / 'items.jsonl'
     lines.write_bytes(job_lines(5))
-    assert tool('jobs', 'submit', str(lines)) is ExitStatus.SUCCESS
+    assert run_tool('jobs', 'submit', str(lines)) is ExitStatus.SUCCESS
     job = msgspec.json.decode(capsys.readouterr().out)['id']
-    assert tool('jobs', 'submit', str(lines)) is ExitStatus.SUCCESS
+    assert run_tool('jobs', 'submit', str(lines)) is ExitStatus.SUCCESS
     assert msgspec.json.decode(capsys.readouterr().out)['id'] == job
-    assert tool('jobs', 'follow', job) is ExitStatus.SUCCESS
+    assert run_tool('jobs', 'follow', job) is ExitStatus.SUCCESS
     last = capsys.readouterr().out.splitlines()[-1]
     assert msgspec.json.decode(last)['status'] == 'completed'
-    assert tool('jobs', 'cancel', job) is ExitStatus.CONFLICT
+    assert run_tool('jobs', 'cancel', job) is ExitStatus.CONFLICT
 
 
-def test_configuration_is_read_before_it_is_applied(
-    tool: Tool,
+def test_diff_changes_nothing_and_apply_does(
+    run_tool: RunTool,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     world: World,
@@ -142,10 +144,10 @@
     draft = operator.draft().remove('clients', 'other')
     path = tmp_path / 'fleet.json'
     path.write_text(str(draft))
-    tool('config', 'diff', str(path), key=OPERATOR_KEY)
+    run_tool('config', 'diff', str(path), key=OPERATOR_KEY)
     assert '- clients.other' in capsys.readouterr().out
     assert 'other' in operator.config()['clients']
-    applied = tool('--yes', 'config', 'apply', str(path), key=OPERATOR_KEY)
+    applied = run_tool('--yes', 'config', 'apply', str(path), key=OPERATOR_KEY)
     assert applied is ExitStatus.SUCCESS
     assert 'other' not in operator.config()['clients']
     assert operator.recall(1)['clients']['other']
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The pages that are checked against the code."""
+"""The documentation lists all events, settings and kinds of errors."""
 
 import re
 from pathlib import Path
@@ -25,14 +25,14 @@
     assert len(codes) == len(set(codes))
 
 
-def test_every_setting_stands_in_the_guide() -> None:
+def test_operators_page_lists_every_setting() -> None:
     text = (DOCS / 'OPERATORS.md').read_text()
     for option in OPTIONS:
         default = 'required' if option.default is None else option.default
         assert f'| `{option.name}` | {default} | {option.unit} |' in text
 
 
-def test_every_kind_of_error_stands_in_the_interface_page() -> None:
+def test_api_page_lists_every_kind_of_error() -> None:
     text = (DOCS / 'API.md').read_text()
     kinds = [
         kind
