--- a/gentiantrestle/cli/__init__.py
+++ b/gentiantrestle/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool, built on the library alone."""
+"""The command-line tool; it calls instances only through the library."""
--- a/gentiantrestle/cli/configuration.py
+++ b/gentiantrestle/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration and its kinds."""
+"""Commands for the configuration, status and reports."""
 
 import sys
 from pathlib import Path
@@ -12,96 +12,102 @@
 
 
 class InputError(Exception):
-    """What was given can't be used; the message names the remedy."""
+    """The input of a command is unusable; the message names the remedy."""
 
 
 @command('status', 'Show the instance, its peers and upstreams.')
 def show_status(session: Session) -> None:
-    """Show what the instance knows."""
-    session.printer.document(_operator(session).status())
+    """Print the status of the fleet as the instance sees it."""
+    session.printer.print_document(_make_operator(session).status())
 
 
 @command('report SCOPE', 'Show service-level burn: fleet, zone or instance.')
 def show_report(session: Session, scope: str) -> None:
-    """Show burn rates and jobs at risk."""
-    report = _operator(session).report(scope)
-    session.printer.table(report['rows'])
-    session.printer.table(report['jobs'])
+    """Print burn rates, jobs at risk and what is missing in the report."""
+    report = _make_operator(session).report(scope)
+    session.printer.print_table(report['rows'])
+    session.printer.print_table(report['jobs'])
     if report['missing']:
-        session.printer.document({'missing': report['missing']})
+        session.printer.print_document({'missing': report['missing']})
 
 
 @command('config show', 'Show the configuration in force.')
 def show_config(session: Session) -> None:
-    """Show the configuration in force."""
-    session.printer.document(_operator(session).config())
+    """Print the configuration in force."""
+    session.printer.print_document(_make_operator(session).config())
 
 
 @command('config history REVISION', 'Show an earlier configuration.')
 def show_history(session: Session, revision: str) -> None:
-    """Show an earlier configuration."""
+    """Print an earlier configuration."""
     if not revision.isdigit():
-        raise InputError(f'{revision!r} is no revision; give a number.')
-    session.printer.document(_operator(session).recall(int(revision)))
+        raise InputError(f'{revision!r} is not a revision; give a number.')
+    session.printer.print_document(
+        _make_operator(session).recall(int(revision))
+    )
 
 
 @command('config check FILE', 'List every problem of a configuration file.')
 def check_config(session: Session, path: str) -> None:
-    """List every problem of a file."""
-    problems = _operator(session).check(_read(path))
-    session.printer.table(problems)
+    """Print every problem of a configuration file."""
+    problems = _make_operator(session).check(_read_document(path))
+    session.printer.print_table(problems)
 
 
 @command('config diff FILE', 'Show what a configuration file would change.')
 def show_difference(session: Session, path: str) -> None:
-    """Show what a file would change."""
-    draft = _draft(_operator(session), path)
-    session.printer.difference(draft.difference())
+    """Print what a configuration file would change."""
+    draft = _draft_from_file(_make_operator(session), path)
+    session.printer.print_difference(draft.difference())
 
 
-@command('config apply FILE', 'Show the difference, ask, and apply a file.')
+@command('config apply FILE', 'Show the difference, confirm and apply a file.')
 def apply_config(session: Session, path: str) -> None:
-    """Put a file in force, under the revision that was shown."""
-    operator = _operator(session)
-    _apply(session, operator, _draft(operator, path))
+    """Apply a file, unless the revision that was compared has changed."""
+    operator = _make_operator(session)
+    _confirm_and_apply(session, operator, _draft_from_file(operator, path))
 
 
 @command('list KIND', 'List upstreams, deployments, endpoints or clients.')
 def list_entries(session: Session, kind: str) -> None:
-    """List the entries of one kind."""
-    entries = _operator(session).config()[_kind(kind)]
+    """Print the entries of one kind."""
+    entries = _make_operator(session).config()[_check_kind(kind)]
     rows = [
         {'name': name, 'settings': entry}
         for name, entry in sorted(entries.items())
     ]
-    session.printer.table(rows)
+    session.printer.print_table(rows)
 
 
 @command('set KIND NAME SETTINGS', 'Set one entry, given as a JSON object.')
 def set_entry(session: Session, kind: str, name: str, text: str) -> None:
-    """Set one entry after showing the difference."""
-    operator = _operator(session)
-    draft = operator.draft().put(_kind(kind), name, _parse(text, name))
-    _apply(session, operator, draft)
+    """Set one entry after printing the difference and confirming it."""
+    operator = _make_operator(session)
+    draft = operator.draft().put(
+        _check_kind(kind), name, _parse_object(text, name)
+    )
+    _confirm_and_apply(session, operator, draft)
 
 
 @command('remove KIND NAME', 'Remove one entry.')
 def remove_entry(session: Session, kind: str, name: str) -> None:
-    """Remove one entry after showing the difference."""
-    operator = _operator(session)
-    draft = operator.draft().remove(_kind(kind), name)
-    _apply(session, operator, draft)
+    """Remove one entry after printing the difference and confirming it."""
+    operator = _make_operator(session)
+    draft = operator.draft().remove(_check_kind(kind), name)
+    _confirm_and_apply(session, operator, draft)
 
 
-def _operator(session: Session) -> Operator:
+def _make_operator(session: Session) -> Operator:
     return Operator(session.conn)
 
 
-def _apply(session: Session, operator: Operator, draft: Draft) -> None:
-    session.printer.difference(draft.difference())
+def _confirm_and_apply(
+    session: Session, operator: Operator, draft: Draft
+) -> None:
+    session.printer.print_difference(draft.difference())
     if not session.option('yes') and not _confirm():
-        raise InputError('Nothing was applied; answer "y" or give --yes.')
-    session.printer.document({'revision': operator.apply(draft)})
+        raise InputError('Nothing was applied; answer "y" or use --yes.')
+    session.printer.print_document({'revision': operator.apply(draft)})
 
 
 def _confirm() -> bool:
@@ -112,33 +118,33 @@
     return sys.stdin.readline().strip().lower() == 'y'
 
 
-def _draft(operator: Operator, path: str) -> Draft:
+def _draft_from_file(operator: Operator, path: str) -> Draft:
     draft = operator.draft()
-    given = _read(path)
+    document = _read_document(path)
     for kind in KINDS:
-        draft.document[kind] = given.get(kind, {})
-    for name in set(given) - set(KINDS) - {'revision'}:
-        draft.document[name] = given[name]
+        draft.document[kind] = document.get(kind, {})
+    for name in set(document) - set(KINDS) - {'revision'}:
+        draft.document[name] = document[name]
     return draft
 
 
-def _kind(kind: str) -> str:
+def _check_kind(kind: str) -> str:
     if kind not in KINDS:
-        known = ', '.join(KINDS)
-        raise InputError(f'{kind!r} is no kind; use one of {known}.')
+        kinds = ', '.join(KINDS)
+        raise InputError(f'{kind!r} is not a kind; use one of {kinds}.')
     return kind
 
 
-def _read(path: str) -> dict[str, Any]:
+def _read_document(path: str) -> dict[str, Any]:
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as exc:
         raise InputError(f'{path} is not readable: {exc}.') from exc
-    return _parse(text, path)
+    return _parse_object(text, path)
 
 
-def _parse(text: str, origin: str) -> dict[str, Any]:
+def _parse_object(text: str, origin: str) -> dict[str, Any]:
     try:
         return msgspec.json.decode(text, type=dict[str, Any])
     except msgspec.DecodeError as exc:
-        raise InputError(f'{origin} is no JSON object: {exc}.') from exc
+        raise InputError(f'{origin} is not a JSON object: {exc}.') from exc
--- a/gentiantrestle/cli/core.py
+++ b/gentiantrestle/cli/core.py
@@ -1,4 +1,4 @@
-"""One run of the command-line tool, top to bottom."""
+"""Entry point of the command-line tool."""
 
 import os
 import sys
@@ -8,18 +8,18 @@
 
 from gentiantrestle.cli import configuration, jobs
 from gentiantrestle.cli.options import OPTIONS, USAGE, CliOption
-from gentiantrestle.cli.registry import COMMANDS, Session, find
+from gentiantrestle.cli.registry import COMMANDS, Session, find_command
 from gentiantrestle.errors import CONFLICT, KEY_REUSED
 from gentiantrestle.exit_status import ExitStatus
 from gentiantrestle.library import Connection, Failure, UnreachableError
-from gentiantrestle.output.printers import HumanPrinter, JsonPrinter, Printer
+from gentiantrestle.output.printers import JsonPrinter, Printer, TextPrinter
 
 COMMAND_MODULES = (configuration, jobs)
 CONFLICTS = frozenset((CONFLICT.name, KEY_REUSED.name))
 NOT_RUN = 'not run'
 HELP = 'help'
-COLUMN = 28  # characters
-DEFINERS = {
+COLUMN_WIDTH = 28  # characters
+FLAG_DEFINERS = {
     bool: flags.DEFINE_bool,
     int: flags.DEFINE_integer,
     float: flags.DEFINE_float,
@@ -33,9 +33,9 @@
 
 
 def run(argv: Sequence[str], environ: Mapping[str, str]) -> ExitStatus:
-    """Read the command line and carry its command out."""
+    """Parse the command line and run its command."""
     options = flags.FlagValues()
-    _define(options, environ)
+    _define_flags(options, environ)
     try:
         words = options(argv)[1:]
     except flags.Error as exc:
@@ -43,7 +43,7 @@
     if options[HELP].value or not words:
         sys.stdout.write(_usage())
         return ExitStatus.SUCCESS
-    found = find(words)
+    found = find_command(words)
     if found is None:
         return _fail(
             ExitStatus.BAD_SETTINGS,
@@ -51,30 +51,32 @@
             'see gentiantrestle --help.',
         )
     try:
-        session = _open(options)
-        found[0].act(session, *found[1])
-    except Exception as exc:  # noqa: BLE001 (told by its exit status)
-        return _explain(exc)
+        session = _open_session(options)
+        found[0].action(session, *found[1])
+    except Exception as exc:  # noqa: BLE001 (the exit status reports it)
+        return _report_exception(exc)
     except KeyboardInterrupt:
         return ExitStatus.INTERRUPTED
     return ExitStatus.SUCCESS
 
 
-def _define(options: flags.FlagValues, environ: Mapping[str, str]) -> None:
+def _define_flags(
+    options: flags.FlagValues, environ: Mapping[str, str]
+) -> None:
     flags.DEFINE_bool(HELP, False, 'Print this help.', flag_values=options)
     for option in OPTIONS:
-        define = DEFINERS[type(option.default)]
+        define = FLAG_DEFINERS[type(option.default)]
         define(
             option.name,
             environ.get(option.env, option.default),
-            option.text,
+            option.help_text,
             flag_values=options,
         )
     options.set_gnu_getopt(True)
 
 
-def _open(options: flags.FlagValues) -> Session:
-    printer: Printer = HumanPrinter(sys.stdout)
+def _open_session(options: flags.FlagValues) -> Session:
+    printer: Printer = TextPrinter(sys.stdout)
     if options['json'].value:
         printer = JsonPrinter(sys.stdout)
     try:
@@ -86,7 +88,7 @@
     return Session(conn, printer, options)
 
 
-def _explain(exc: Exception) -> ExitStatus:
+def _report_exception(exc: Exception) -> ExitStatus:
     if isinstance(exc, configuration.InputError):
         return _fail(ExitStatus.BAD_SETTINGS, str(exc))
     if isinstance(exc, UnreachableError):
@@ -113,27 +115,31 @@
 
 def _usage() -> str:
     return USAGE.format(
-        commands='\n'.join(_columns((one.usage, one.text) for one in COMMANDS)),
+        commands='\n'.join(
+            _format_rows((entry.usage, entry.help_text) for entry in COMMANDS)
+        ),
         options='\n'.join(
-            _columns((f'--{one.name}', _option_text(one)) for one in OPTIONS)
+            _format_rows(
+                (f'--{entry.name}', _option_text(entry)) for entry in OPTIONS
+            )
         ),
         statuses='\n'.join(
-            _columns(
-                (str(int(one)), one.name.lower().replace('_', ' '))
-                for one in ExitStatus
+            _format_rows(
+                (str(int(entry)), entry.name.lower().replace('_', ' '))
+                for entry in ExitStatus
             )
         ),
     )
 
 
-def _columns(rows: Iterator[tuple[str, str]]) -> Iterator[str]:
+def _format_rows(rows: Iterator[tuple[str, str]]) -> Iterator[str]:
     for name, text in rows:
-        yield f'  {name.ljust(COLUMN)}  {text}'
+        yield f'  {name.ljust(COLUMN_WIDTH)}  {text}'
 
 
 def _option_text(option: CliOption) -> str:
     env = f' Environment: {option.env}.' if option.env else ''
-    return f'{option.text} Default: {option.default!r}.{env}'
+    return f'{option.help_text} Default: {option.default!r}.{env}'
 
 
 if __name__ == '__main__':
--- a/gentiantrestle/cli/jobs.py
+++ b/gentiantrestle/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Commands on batch jobs, and single requests."""
+"""Commands for batch jobs and single requests."""
 
 import hashlib
 import sys
@@ -9,9 +9,9 @@
 from gentiantrestle.library import Jobs
 
 
-@command('complete MODEL PROMPT', 'Print the answer to a prompt as it comes.')
+@command('complete MODEL PROMPT', 'Stream the answer to a prompt.')
 def complete(session: Session, model: str, prompt: str) -> None:
-    """Print an answer as it comes."""
+    """Print the parts of an answer as they arrive."""
     tokens = session.option('max_tokens')
     for text in Jobs(session.conn).complete(model, prompt, tokens):
         sys.stdout.write(text)
@@ -21,7 +21,7 @@
 
 @command('jobs submit FILE', 'Submit a file of JSON lines as a job.')
 def submit_job(session: Session, path: str) -> None:
-    """Submit a file; sent twice, it is one job."""
+    """Submit a file; the same key, or content without key, is one job."""
     try:
         lines = Path(path).read_bytes()
     except OSError as exc:
@@ -32,36 +32,36 @@
         key or hashlib.sha256(lines).hexdigest(),
         session.option('window'),
     )
-    session.printer.document(job)
+    session.printer.print_document(job)
 
 
-@command('jobs list', 'List the jobs of the account.')
+@command('jobs list', 'List the jobs of the client account.')
 def list_jobs(session: Session) -> None:
-    """List the account's jobs."""
-    session.printer.table(Jobs(session.conn).list())
+    """Print the jobs of the client account."""
+    session.printer.print_table(Jobs(session.conn).list())
 
 
-@command('jobs show JOB', 'Show how far a job is.')
+@command('jobs show JOB', 'Show the status of a job.')
 def show_job(session: Session, job: str) -> None:
-    """Show how far a job is."""
-    session.printer.document(Jobs(session.conn).show(job))
+    """Print the status of a job."""
+    session.printer.print_document(Jobs(session.conn).show(job))
 
 
 @command('jobs follow JOB', 'Watch a job until it ends.')
 def follow_job(session: Session, job: str) -> None:
-    """Watch a job until it ends."""
-    session.printer.progress(Jobs(session.conn).follow(job))
+    """Print the progress of a job until it ends."""
+    session.printer.print_progress(Jobs(session.conn).follow(job))
 
 
-@command('jobs results JOB', 'Print the results that there are.')
+@command('jobs results JOB', 'Print the available results of a job.')
 def read_results(session: Session, job: str) -> None:
-    """Print the results as JSON lines."""
+    """Print the available results as JSON lines."""
     for part in Jobs(session.conn).results(job):
         sys.stdout.buffer.write(part)
     sys.stdout.buffer.flush()
 
 
-@command('jobs cancel JOB', 'Cancel a job for good.')
+@command('jobs cancel JOB', "Cancel a job; it can't be resumed.")
 def cancel_job(session: Session, job: str) -> None:
-    """Cancel a job for good."""
-    session.printer.document(Jobs(session.conn).cancel(job))
+    """Cancel a job and print its status."""
+    session.printer.print_document(Jobs(session.conn).cancel(job))
--- a/gentiantrestle/cli/options.py
+++ b/gentiantrestle/cli/options.py
@@ -1,14 +1,14 @@
-"""The tool's options as data: one entry for each."""
+"""Definitions of the command-line tool's options."""
 
 from typing import NamedTuple
 
 
 class CliOption(NamedTuple):
-    """One option: its name, default, environment variable and help."""
+    """An option: its name, default, help text and environment variable."""
 
     name: str
     default: str | int | float | bool
-    text: str
+    help_text: str
     env: str = ''
 
 
@@ -22,24 +22,24 @@
     CliOption(
         'key',
         '',
-        'Key of the account. Prefer the variable: other users of the machine '
-        'can read flags.',
+        'Key of the client account. Prefer the environment variable: other '
+        'users of the machine can read flags.',
         'GENTIANTRESTLE_KEY',
     ),
-    CliOption('json', False, 'Print JSON, a document a line.'),
+    CliOption('json', False, 'Print JSON, one document per line.'),
     CliOption(
         'idempotency_key',
         '',
-        'Name of a submission: sent twice, it is accepted once. Without it '
-        'the content of the file is the name.',
+        'Idempotency key of a submission: submissions with the same key are '
+        'accepted once. If it is empty, the SHA-256 of the file is the key.',
     ),
     CliOption(
         'window',
         86400.0,
-        'Time in seconds from acceptance to the deadline of a job.',
+        'Time from the acceptance of a job to its deadline, in seconds.',
     ),
     CliOption('max_tokens', 64, 'Longest answer of "complete", in tokens.'),
-    CliOption('yes', False, 'Apply without asking.'),
+    CliOption('yes', False, 'Apply without confirmation.'),
 )
 USAGE = """\
 usage: gentiantrestle [OPTIONS] COMMAND [ARGUMENT ...]
--- a/gentiantrestle/cli/registry.py
+++ b/gentiantrestle/cli/registry.py
@@ -1,4 +1,4 @@
-"""Commands by their words, in a registry that decorators fill."""
+"""Registry of the tool's commands; a decorator adds to it."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple, TypeAlias
@@ -10,14 +10,14 @@
 
 
 class Session(NamedTuple):
-    """What a command works with."""
+    """The connection, printer and options of one command."""
 
     conn: Connection
     printer: Printer
     options: flags.FlagValues
 
     def option(self, name: str) -> Any:
-        """Return an option's setting."""
+        """Return the value of an option."""
         return self.options[name].value
 
 
@@ -25,41 +25,46 @@
 
 
 class Command(NamedTuple):
-    """A command: its words, the arguments it takes, and what it does."""
+    """A command: its words, argument names, help text and function."""
 
     words: tuple[str, ...]
     arguments: tuple[str, ...]
-    text: str
-    act: Action
+    help_text: str
+    action: Action
 
     @property
     def usage(self) -> str:
-        """Show words and arguments."""
+        """The words and argument names, as a line of text."""
         return ' '.join((*self.words, *self.arguments))
 
 
 COMMANDS: list[Command] = []
 
 
-def command(line: str, text: str) -> Callable[[Action], Action]:
+def command(usage: str, help_text: str) -> Callable[[Action], Action]:
     """Register a command; words in capitals are its arguments."""
-    words = tuple(word for word in line.split() if not word.isupper())
-    arguments = tuple(word for word in line.split() if word.isupper())
+    words = tuple(word for word in usage.split() if not word.isupper())
+    arguments = tuple(word for word in usage.split() if word.isupper())
 
-    def register(act: Action) -> Action:
-        COMMANDS.append(Command(words, arguments, text, act))
-        return act
+    def register(action: Action) -> Action:
+        COMMANDS.append(Command(words, arguments, help_text, action))
+        return action
 
     return register
 
 
-def find(given: Sequence[str]) -> tuple[Command, Sequence[str]] | None:
-    """Find the command that the words start with, and its arguments."""
-    for one in COMMANDS:
-        size = len(one.words)
-        rest = tuple(given[size:])
-        if tuple(given[:size]) != one.words:
+def find_command(
+    command_line: Sequence[str],
+) -> tuple[Command, Sequence[str]] | None:
+    """Return the command of a command line and its arguments.
+
+    Return ``None`` if no command has these words and number of arguments.
+    """
+    for known in COMMANDS:
+        word_count = len(known.words)
+        arguments = tuple(command_line[word_count:])
+        if tuple(command_line[:word_count]) != known.words:
             continue
-        if len(rest) == len(one.arguments):
-            return one, rest
+        if len(arguments) == len(known.arguments):
+            return known, arguments
     return None
--- a/gentiantrestle/library/__init__.py
+++ b/gentiantrestle/library/__init__.py
@@ -1,4 +1,4 @@
-"""The library that operators and callers use: read, check, then apply."""
+"""Client library for operators and callers of a fleet."""
 
 from gentiantrestle.library.connection import (
     Connection,
--- a/gentiantrestle/library/connection.py
+++ b/gentiantrestle/library/connection.py
@@ -1,4 +1,4 @@
-"""Calls to an entry instance, for programs without a loop of their own."""
+"""Blocking calls to an entry instance, for programs without asyncio."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterator
@@ -17,33 +17,41 @@
 from gentiantrestle.http.messages import JSON
 from gentiantrestle.models import Address
 
-TIMEOUT = 60.0  # seconds
+RESPONSE_START_TIMEOUT = 60.0  # seconds to connect, send and get the head
 CONNECT_TIMEOUT = 5.0  # seconds
-FIRST_ERROR = 400
+FIRST_ERROR_STATUS = 400
 
 
 class Failure(Exception):
-    """The instance has refused a call; ``run`` tells if it was run."""
+    """The instance answered a call with an error.
+
+    ``status`` is the HTTP status, ``kind`` the name of the error, and ``run``
+    whether the call was run: ``'not run'`` or ``'unknown'``.
+    """
 
     def __init__(self, status: int, error: dict[str, str]) -> None:
-        """Keep what the instance has said."""
+        """Build the message from the error of the answer."""
         self.status = status
         self.kind = error.get('type', 'unknown')
         self.run = error.get('run', 'unknown')
         reason = error.get('message', f'status {status}')
-        remedy = error.get('remedy', 'Look at the log of the instance.')
+        remedy = error.get('remedy', 'Check the log of the instance.')
         super().__init__(f'{reason}. {remedy}')
 
 
 class UnreachableError(Exception):
-    """No instance answered; nothing is known of the call."""
+    """No whole answer arrived; it is unknown whether the call was run."""
 
 
 class Connection:
-    """Sends calls with a key to one address."""
+    """Sends calls with one key to one address."""
 
     def __init__(self, address: str, key: str) -> None:
-        """Take ``IP:PORT`` and the key of an account."""
+        """Use an address ``IP:PORT`` and the key of a client account.
+
+        No connection is opened yet. Raise ``ValueError`` if the port is no
+        number.
+        """
         self._address = Address.parse(address)
         self._key = key
         self._runner = asyncio.Runner()
@@ -55,8 +63,12 @@
         body: bytes = b'',
         headers: tuple[tuple[str, str], ...] = (),
     ) -> Any:
-        """Send a call, return its JSON; raise ``Failure`` on a refusal."""
-        call = self._build(method, target, body, headers)
+        """Send a call and return the decoded JSON of the answer.
+
+        Raise ``Failure`` if the instance answers with an error, and
+        ``UnreachableError`` if no whole answer arrives.
+        """
+        call = self._build_call(method, target, body, headers)
         return msgspec.json.decode(self._runner.run(self._fetch(call)))
 
     def stream(
@@ -65,11 +77,14 @@
         target: str,
         body: bytes = b'',
     ) -> Iterator[bytes]:
-        """Send a call and yield the parts of its answer as they come."""
-        parts = self._parts(self._build(method, target, body, ()))
+        """Send a call and yield the parts of its answer as they arrive.
+
+        Raise the same errors as ``call``.
+        """
+        parts = self._parts(self._build_call(method, target, body, ()))
         try:
             while True:
-                part = self._runner.run(_next(parts))
+                part = self._runner.run(_next_part(parts))
                 if part is None:
                     return
                 yield part
@@ -77,25 +92,28 @@
             self._runner.run(parts.aclose())
 
     def close(self) -> None:
-        """Free the loop that the calls ran on."""
+        """Close the event loop that the calls run on."""
         self._runner.close()
 
-    def _build(
+    def _build_call(
         self,
         method: str,
         target: str,
         body: bytes,
         headers: tuple[tuple[str, str], ...],
     ) -> Call:
-        own = (('Authorization', f'Bearer {self._key}'), ('Content-Type', JSON))
-        return Call(method, target, (*own, *headers), body)
+        common = (
+            ('Authorization', f'Bearer {self._key}'),
+            ('Content-Type', JSON),
+        )
+        return Call(method, target, (*common, *headers), body)
 
     async def _fetch(self, call: Call) -> bytes:
         return b''.join([part async for part in self._parts(call)])
 
     async def _parts(self, call: Call) -> AsyncIterator[bytes]:
         try:
-            async with asyncio.timeout(TIMEOUT):
+            async with asyncio.timeout(RESPONSE_START_TIMEOUT):
                 conn = await ClientConnection.open(
                     self._address,
                     CONNECT_TIMEOUT,
@@ -107,18 +125,18 @@
                 'Check --server and that the instance runs.',
             ) from exc
         try:
-            await _raise_refusal(answer)
+            await _raise_for_status(answer)
             async with aclosing(conn.chunks()) as parts:
                 async for part in parts:
                     yield part
         except LostError as exc:
-            raise UnreachableError(f'The answer was cut: {exc}') from exc
+            raise UnreachableError(f'The answer was cut off: {exc}') from exc
         finally:
             conn.close()
 
 
-async def _raise_refusal(answer: Answer) -> None:
-    if answer.status < FIRST_ERROR:
+async def _raise_for_status(answer: Answer) -> None:
+    if answer.status < FIRST_ERROR_STATUS:
         return
     body = await answer.read()
     error: dict[str, str] = {}
@@ -129,5 +147,5 @@
     raise Failure(answer.status, error)
 
 
-async def _next(parts: AsyncIterator[bytes]) -> bytes | None:
+async def _next_part(parts: AsyncIterator[bytes]) -> bytes | None:
     return await anext(parts, None)
--- a/gentiantrestle/library/draft.py
+++ b/gentiantrestle/library/draft.py
@@ -1,4 +1,4 @@
-"""A configuration to be: built step by step, read, then applied."""
+"""Drafts of a configuration: edit, compare, then apply."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -18,10 +18,13 @@
 
 
 class Draft:
-    """A changed copy of the configuration that was in force."""
+    """An editable copy of a configuration.
+
+    The methods that change it return the draft, so that calls can be chained.
+    """
 
     def __init__(self, in_force: FleetDoc) -> None:
-        """Start from a configuration; its revision is the draft's base."""
+        """Copy a configuration; the draft applies only to its revision."""
         self._base = in_force
         self.document: dict[str, Any] = {
             kind: dict(in_force[kind]) for kind in KINDS
@@ -45,17 +48,17 @@
         return self.put('clients', name, ClientDoc(**fields))
 
     def put(self, kind: str, name: str, entry: Any) -> 'Draft':
-        """Set one entry of a kind."""
+        """Set one entry of a kind; see ``KINDS``."""
         self.document[kind][name] = entry
         return self
 
     def remove(self, kind: str, name: str) -> 'Draft':
-        """Remove one entry of a kind; one that is missing is fine."""
+        """Remove one entry of a kind, if it exists."""
         self.document[kind].pop(name, None)
         return self
 
     def difference(self) -> Iterator[str]:
-        """Yield what the draft changes, a line for each entry."""
+        """Yield the changes: ``-`` lines removed, ``+`` lines added."""
         for kind in KINDS:
             before, after = self._base[kind], self.document[kind]
             for name in sorted(set(before) | set(after)):
@@ -66,7 +69,7 @@
                 )
 
     def __str__(self) -> str:
-        """Print the whole configuration as it would be."""
+        """Return the draft as indented JSON."""
         text = msgspec.json.encode(self.document)
         return msgspec.json.format(text, indent=INDENT).decode()
 
--- a/gentiantrestle/library/jobs.py
+++ b/gentiantrestle/library/jobs.py
@@ -1,4 +1,4 @@
-"""What callers do: batch jobs and single requests."""
+"""Calls of callers: batch jobs and single requests."""
 
 import time
 from collections.abc import Iterator
@@ -15,19 +15,23 @@
 
 
 class Jobs:
-    """The batch jobs of one account."""
+    """The batch jobs and requests of one client account."""
 
     def __init__(self, conn: Connection) -> None:
-        """Use a connection with the account's key."""
+        """Use a connection with the key of the account."""
         self._conn = conn
 
     @classmethod
     def connect(cls, address: str, key: str) -> 'Jobs':
-        """Connect to ``IP:PORT``."""
+        """Use an instance at ``IP:PORT`` and the key of an account."""
         return cls(Connection(address, key))
 
     def submit(self, lines: bytes, key: str, window: float) -> dict[str, Any]:
-        """Submit JSON lines; the same key finds the same job again."""
+        """Submit items as JSON lines and return the status of the job.
+
+        ``key`` is the idempotency key: the same key and lines return the same
+        job. ``window`` is the time in s from acceptance to the deadline.
+        """
         return self._conn.call(
             'POST',
             f'/v1/batches?completion_window={window}',
@@ -36,15 +40,15 @@
         )
 
     def list(self) -> list[dict[str, Any]]:
-        """List the account's jobs."""
+        """Return the status of each job of the account."""
         return self._conn.call('GET', '/v1/batches')['data']
 
     def show(self, job: str) -> dict[str, Any]:
-        """Read how far a job is."""
-        return self._conn.call('GET', _target(job))
+        """Return the status of a job."""
+        return self._conn.call('GET', _job_path(job))
 
     def follow(self, job: str) -> Iterator[dict[str, Any]]:
-        """Yield how far a job is until it has ended."""
+        """Yield the status of a job until it has ended, polling it."""
         while True:
             status = self.show(job)
             yield status
@@ -53,15 +57,19 @@
             time.sleep(FOLLOW_PERIOD)
 
     def results(self, job: str) -> Iterator[bytes]:
-        """Yield the results that there are, as JSON lines."""
-        yield from self._conn.stream('GET', f'{_target(job)}/results')
+        """Yield parts of the available results, which are JSON lines."""
+        yield from self._conn.stream('GET', f'{_job_path(job)}/results')
 
     def cancel(self, job: str) -> dict[str, Any]:
-        """Cancel a job for good."""
-        return self._conn.call('POST', f'{_target(job)}/cancel')
+        """Cancel a job and return its status."""
+        return self._conn.call('POST', f'{_job_path(job)}/cancel')
 
     def complete(self, model: str, prompt: str, tokens: int) -> Iterator[str]:
-        """Yield the answer to a prompt as it comes; a cut one raises."""
+        """Yield the text of the answer to a prompt as it arrives.
+
+        ``tokens`` limits the answer. Raise ``UnreachableError`` if the answer
+        is cut off.
+        """
         body = msgspec.json.encode(
             {
                 'model': model,
@@ -74,8 +82,10 @@
         for part in self._conn.stream('POST', '/v1/completions', body):
             yield from reader.feed(part)
         if not reader.is_complete:
-            raise UnreachableError('The answer was cut; drop it and ask again.')
+            raise UnreachableError(
+                'The answer was cut off; discard it and try again.'
+            )
 
 
-def _target(job: str) -> str:
+def _job_path(job: str) -> str:
     return f'/v1/batches/{quote(job)}'
--- a/gentiantrestle/library/operator.py
+++ b/gentiantrestle/library/operator.py
@@ -1,4 +1,4 @@
-"""What operators do: read, check and apply configurations."""
+"""Calls of operators: configurations, reports and status."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -11,19 +11,19 @@
 
 
 class Operator:
-    """The administration of a fleet, through any of its instances."""
+    """Administers a fleet through any of its entry instances."""
 
     def __init__(self, conn: Connection) -> None:
-        """Use a connection whose key administers."""
+        """Use a connection with the key of an administrator."""
         self._conn = conn
 
     @classmethod
     def connect(cls, address: str, key: str) -> 'Operator':
-        """Connect to ``IP:PORT``."""
+        """Use an instance at ``IP:PORT`` and an administrator's key."""
         return cls(Connection(address, key))
 
     def config(self) -> FleetDoc:
-        """Read the configuration in force."""
+        """Return the configuration in force."""
         return self._conn.call('GET', '/admin/config')
 
     def draft(self) -> Draft:
@@ -31,23 +31,27 @@
         return Draft(self.config())
 
     def check(self, document: Mapping[str, Any]) -> list[dict[str, str]]:
-        """Return every problem of a configuration; change nothing."""
+        """Return every problem of a configuration without applying it."""
         body = msgspec.json.encode(document)
         return self._conn.call('POST', '/admin/check', body)['problems']
 
     def apply(self, draft: Draft) -> int:
-        """Put a draft in force if its base still is; return the revision."""
+        """Apply a draft and return the new revision.
+
+        Raise ``Failure`` if the configuration in force is no longer the one
+        that the draft was made from.
+        """
         body = msgspec.json.encode(draft.document)
         return self._conn.call('PUT', '/admin/config', body)['revision']
 
     def recall(self, revision: int) -> FleetDoc:
-        """Read an earlier configuration."""
+        """Return the configuration of an earlier revision."""
         return self._conn.call('GET', f'/admin/history/{revision}')
 
     def report(self, scope: str) -> dict[str, Any]:
-        """Read the burn of a scope: fleet, zone or instance."""
+        """Return the burn rates of a scope: fleet, zone or instance."""
         return self._conn.call('GET', f'/admin/report?scope={scope}')
 
     def status(self) -> dict[str, Any]:
-        """Read what the instance knows of the fleet."""
+        """Return the status of the fleet as the instance sees it."""
         return self._conn.call('GET', '/admin/status')
