--- a/gentiantrestle/config.py
+++ b/gentiantrestle/config.py
@@ -18,7 +18,7 @@
 
 
 class SettingProblem(NamedTuple):
-    """One wrong setting: where it stands, what is wrong, what helps."""
+    """A setting that is missing or invalid: name, reason and remedy."""
 
     name: str
     reason: str
@@ -26,7 +26,7 @@
 
 
 class SettingValue(NamedTuple):
-    """A setting in force and the place it came from."""
+    """The value of a setting and its source: flag, environment, default."""
 
     option: Option
     value: Any  # noqa: WPS110 (the field's standard name)
@@ -34,22 +34,24 @@
 
     @property
     def display_text(self) -> str:
-        """Give the text to print; secrets stay hidden."""
+        """Text to print; the value of a secret is hidden."""
         if self.option.secret and self.value:
             return HIDDEN
         return str(self.value)
 
 
 class Settings:
-    """Checked settings; each option is an attribute."""
+    """Valid settings; each option is an attribute of the same name."""
 
-    def __init__(self, chosen: Sequence[SettingValue]) -> None:
-        """Keep what was chosen, by option name."""
-        self.setting_values = tuple(chosen)
-        self._by_name = {one.option.name: one.value for one in chosen}
+    def __init__(self, setting_values: Sequence[SettingValue]) -> None:
+        """Store the setting values, by option name."""
+        self.setting_values = tuple(setting_values)
+        self._by_name = {
+            setting.option.name: setting.value for setting in setting_values
+        }
 
     def __getattr__(self, name: str) -> Any:
-        """Look an option up by its name."""
+        """Return the value of an option."""
         try:
             return self.__dict__['_by_name'][name]
         except KeyError:
@@ -62,26 +64,29 @@
         environ: Mapping[str, str],
         options: Sequence[Option] = OPTIONS,
     ) -> 'Settings | list[SettingProblem]':
-        """Read and check all options; return every problem at once."""
+        """Read and check all options; flags override the environment.
+
+        Return the settings, or the list of all problems found.
+        """
         problems: list[SettingProblem] = []
-        chosen = [
-            _choose(option, given_flags, environ, problems)
+        setting_values = [
+            _read_setting(option, given_flags, environ, problems)
             for option in options
         ]
         if problems:
             return problems
-        return cls(chosen)
+        return cls(setting_values)
 
     @property
     def store_address(self) -> Address:
-        """Address of the object API."""
+        """Address of the object store's API."""
         return Address.parse(self.store)
 
     @property
     def peer_addresses(self) -> tuple[Address, ...]:
-        """Addresses of the peers to greet at start."""
+        """Addresses of the peers to contact at start."""
         return tuple(
-            Address.parse(part) for part in self.peers.split(',') if part
+            Address.parse(peer) for peer in self.peers.split(',') if peer
         )
 
 
@@ -89,7 +94,7 @@
     flag_values: flags.FlagValues,
     options: Sequence[Option] = OPTIONS,
 ) -> None:
-    """Define one flag for each option; an unset flag is ``None``."""
+    """Define a flag for each option; a flag that is not set is ``None``."""
     for option in options:
         flags.DEFINE_string(
             option.name,
@@ -100,27 +105,27 @@
 
 
 def _help(option: Option) -> str:
-    parts = [option.text]
+    sentences = [option.help_text]
     if option.unit:
-        parts.append(f'Unit: {option.unit}.')
+        sentences.append(f'Unit: {option.unit}.')
     if option.choices:
         choices = ', '.join(option.choices)
-        parts.append(f'One of {choices}.')
+        sentences.append(f'One of {choices}.')
     if option.required:
-        parts.append('Required.')
+        sentences.append('Required.')
     else:
-        parts.append(f'Default: {option.default!r}.')
-    parts.append(f'Environment: {option.env}.')
-    return ' '.join(parts)
+        sentences.append(f'Default: {option.default!r}.')
+    sentences.append(f'Environment: {option.env}.')
+    return ' '.join(sentences)
 
 
-def _choose(
+def _read_setting(
     option: Option,
     given_flags: Mapping[str, str],
     environ: Mapping[str, str],
     problems: list[SettingProblem],
 ) -> SettingValue:
-    source, raw = _find_raw(option, given_flags, environ)
+    source, raw = _find_text(option, given_flags, environ)
     if raw is None:
         problems.extend(_check_missing(option))
         return SettingValue(option, option.default, source)
@@ -130,17 +135,18 @@
         problems.append(_problem(option, source, str(exc)))
         return SettingValue(option, option.default, source)
     problems.extend(
-        _problem(option, source, reason) for reason in _faults(option, parsed)
+        _problem(option, source, reason)
+        for reason in _check_value(option, parsed)
     )
     return SettingValue(option, parsed, source)
 
 
-def _find_raw(
+def _find_text(
     option: Option,
     given_flags: Mapping[str, str],
     environ: Mapping[str, str],
 ) -> tuple[str, str | None]:
-    """Return where a setting comes from, and its text; flags go first."""
+    """Return the source of a setting and its text, ``None`` if not given."""
     raw = given_flags.get(option.name)
     if raw is not None:
         return f'flag --{option.name}', raw
@@ -159,7 +165,7 @@
     return SettingProblem(
         option.name,
         f'{option.name} from {source}: {reason}',
-        f'Set --{option.name} or {option.env}: {option.text}',
+        f'Set --{option.name} or {option.env}: {option.help_text}',
     )
 
 
@@ -182,7 +188,7 @@
     raise ValueError(f'{raw!r} is neither true nor false')
 
 
-def _faults(option: Option, parsed: Any) -> Iterator[str]:
+def _check_value(option: Option, parsed: Any) -> Iterator[str]:
     if option.required and not parsed:
         yield 'it is empty'
     if option.low is not None and parsed < option.low:
@@ -190,20 +196,20 @@
     if option.high is not None and parsed > option.high:
         yield f'{parsed} is above {option.high} {option.unit}'
     if option.choices and parsed not in option.choices:
-        yield f'{parsed!r} is not a choice'
+        yield f'{parsed!r} is not one of the choices'
     if option.secret and parsed and len(parsed) != SHA256_HEX_LENGTH:
-        yield 'it is not a SHA-256 in hex'
-    yield from _address_faults(option, parsed)
+        yield 'it is not a SHA-256 hash in hex'
+    yield from _check_address(option, parsed)
 
 
-def _address_faults(option: Option, parsed: Any) -> Iterator[str]:
+def _check_address(option: Option, parsed: Any) -> Iterator[str]:
     if option.name in IP_FIELDS and not _is_ip(parsed):
-        yield f'{parsed!r} is not an IP number'
+        yield f'{parsed!r} is not an IP address'
     if option.name not in ADDRESS_FIELDS:
         return
-    for part in parsed.split(','):
-        if part and not _is_address(part):
-            yield f'{part!r} is not IP:PORT'
+    for address in parsed.split(','):
+        if address and not _is_address(address):
+            yield f'{address!r} is not IP:PORT'
 
 
 def _is_ip(text: str) -> bool:
--- a/gentiantrestle/context.py
+++ b/gentiantrestle/context.py
@@ -1,4 +1,4 @@
-"""The environment of one run: settings, clocks, counters."""
+"""What the parts of a daemon share: settings, metrics, clocks, randomness."""
 
 import random
 import time
@@ -10,7 +10,11 @@
 
 
 class Context(NamedTuple):
-    """What every child of the root supervisor is given."""
+    """Shared by all parts of the daemon.
+
+    ``now`` is the monotonic clock and ``wall`` the wall clock, both in s.
+    ``incarnation`` is the start time in ns since the epoch.
+    """
 
     cfg: Settings
     metrics: Metrics
@@ -21,7 +25,7 @@
 
     @classmethod
     def from_config(cls, cfg: Settings) -> 'Context':
-        """Take the process's clocks and a fresh set of counters."""
+        """Use the system clocks and new metrics; seed from the start time."""
         incarnation = time.time_ns()
         return cls(
             cfg,
--- a/gentiantrestle/core.py
+++ b/gentiantrestle/core.py
@@ -1,4 +1,4 @@
-"""One run of the daemon, top to bottom."""
+"""Entry point of the daemon: read the settings, serve, stop."""
 
 import asyncio
 import os
@@ -27,32 +27,38 @@
 
 
 def run(argv: Sequence[str], environ: Mapping[str, str]) -> ExitStatus:
-    """Read the settings, then serve until told to stop."""
-    values = _flag_values()
+    """Read the settings, then serve until a signal asks to stop."""
+    values = _define_all_flags()
     try:
-        rest = values(argv)
+        arguments = values(argv)
     except flags.Error as exc:
-        return _refuse([str(exc), 'See gentiantrestled --help.'])
-    if len(rest) > 1:
-        return _refuse(['The daemon takes flags only.'])
+        return _report_errors([str(exc), 'See gentiantrestled --help.'])
+    if len(arguments) > 1:
+        return _report_errors(['The daemon takes only flags, no arguments.'])
     if values[HELP].value:
         sys.stdout.write(values.get_help(include_special_flags=False))
         return ExitStatus.SUCCESS
     cfg = _read_settings(values, environ)
     if isinstance(cfg, list):
-        return _refuse([f'{one.reason}. {one.remedy}' for one in cfg])
-    return _act(cfg, only_check=values[CHECK].value)
+        return _report_errors(
+            [f'{problem.reason}. {problem.remedy}' for problem in cfg]
+        )
+    return _check_or_serve(cfg, only_check=values[CHECK].value)
 
 
 async def serve(cfg: Settings) -> ExitStatus:
-    """Serve until a signal comes, then stop without cutting requests."""
+    """Serve until SIGTERM or SIGINT, then finish the requests in flight.
+
+    Return ``CUT_REQUESTS`` if some were cut off when the grace period ended,
+    and ``CHILD_FAILED`` or ``ERROR`` if the daemon's tasks ended by themselves.
+    """
     ctx = Context.from_config(cfg)
     tree = Tree.from_config(ctx)
     stopped: asyncio.Future[str] = asyncio.get_running_loop().create_future()
     for signum in SIGNALS:
         asyncio.get_running_loop().add_signal_handler(
             signum,
-            _note_signal,
+            _record_signal,
             stopped,
             signum,
         )
@@ -60,7 +66,7 @@
     events.emit(events.STARTED, instance=cfg.instance, zone=cfg.zone)
     await asyncio.wait({root, stopped}, return_when=asyncio.FIRST_COMPLETED)
     if root.done():
-        return _explain(root)
+        return _root_failure_status(root)
     events.emit(events.STOPPING, signal=stopped.result())
     cut = await tree.stop(cfg.grace)
     root.cancel()
@@ -79,32 +85,34 @@
     return Settings.from_sources(given, environ)
 
 
-def _act(cfg: Settings, *, only_check: bool) -> ExitStatus:
+def _check_or_serve(cfg: Settings, *, only_check: bool) -> ExitStatus:
     if only_check:
-        return _show(cfg)
+        return _print_settings(cfg)
     events.configure(cfg.log_level, as_json=cfg.log_json)
     return uvloop.run(serve(cfg))
 
 
-def _flag_values() -> flags.FlagValues:
+def _define_all_flags() -> flags.FlagValues:
     values = flags.FlagValues()
     define_flags(values)
     flags.DEFINE_bool(
         CHECK,
         False,
-        'Print the settings in force and where each came from; then exit.',
+        'Print each setting with its source, then exit.',
         flag_values=values,
     )
     flags.DEFINE_bool(HELP, False, 'Print this help.', flag_values=values)
     return values
 
 
-def _note_signal(stopped: asyncio.Future[str], signum: signal.Signals) -> None:
+def _record_signal(
+    stopped: asyncio.Future[str], signum: signal.Signals
+) -> None:
     if not stopped.done():
         stopped.set_result(signum.name)
 
 
-def _explain(root: asyncio.Task[None]) -> ExitStatus:
+def _root_failure_status(root: asyncio.Task[None]) -> ExitStatus:
     exc = root.exception()
     if isinstance(exc, ExceptionGroup) and exc.subgroup(RestartLimitError):
         return ExitStatus.CHILD_FAILED
@@ -112,16 +120,18 @@
     return ExitStatus.ERROR
 
 
-def _refuse(lines: Sequence[str]) -> ExitStatus:
+def _report_errors(lines: Sequence[str]) -> ExitStatus:
     for line in lines:
         sys.stderr.write(f'gentiantrestled: {line}\n')
     return ExitStatus.BAD_SETTINGS
 
 
-def _show(cfg: Settings) -> ExitStatus:
-    for chosen in cfg.setting_values:
-        name = chosen.option.name
-        sys.stdout.write(f'{name} = {chosen.display_text}  ({chosen.source})\n')
+def _print_settings(cfg: Settings) -> ExitStatus:
+    for setting in cfg.setting_values:
+        name = setting.option.name
+        sys.stdout.write(
+            f'{name} = {setting.display_text}  ({setting.source})\n'
+        )
     return ExitStatus.SUCCESS
 
 
--- a/gentiantrestle/errors.py
+++ b/gentiantrestle/errors.py
@@ -1,18 +1,21 @@
-"""Typed kinds of errors; each names what a caller can do about it."""
+"""Kinds of errors with their HTTP status and remedy, and refusals."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class Run(Enum):
-    """Whether the refused work was run."""
+    """Whether the work that an error refers to was run."""
 
     NOT_RUN = 'not run'
     UNKNOWN = 'unknown'
 
 
 class ErrorKind(NamedTuple):
-    """One kind of error as callers see it."""
+    """A kind of error: its name, HTTP status and remedy for the caller.
+
+    ``run`` tells the caller whether the work may have been run.
+    """
 
     name: str
     status: int
@@ -21,25 +24,28 @@
 
 
 class Refusal(NamedTuple):
-    """A falsy sentinel: why something was not done, and what helps."""
+    """Why something was not done; false as a condition.
+
+    ``retry_after`` is in s.
+    """
 
     kind: ErrorKind
     reason: str
     retry_after: float | None = None
 
     def __bool__(self) -> bool:
-        """Read as false, so that ``if not answer`` finds a refusal."""
+        """Return false, so that ``if not answer`` detects a refusal."""
         return False
 
     @property
     def message(self) -> str:
-        """Join reason and remedy into one sentence for a person."""
+        """The reason and the remedy, as text for a person."""
         remedy = self.kind.remedy
         return f'{self.reason}. {remedy}'
 
 
 class RefusedError(Exception):
-    """Carries a refusal up to the edge that answers the caller."""
+    """Carries a refusal up to the code that answers the caller."""
 
     def __init__(self, refusal: Refusal) -> None:
         """Keep the refusal; its message is the exception's text."""
@@ -52,14 +58,14 @@
     reason: str,
     retry_after: float | None = None,
 ) -> RefusedError:
-    """Build the exception that carries a refusal."""
+    """Return the exception that carries a refusal; times are in s."""
     return RefusedError(Refusal(kind, reason, retry_after))
 
 
 BAD_REQUEST = ErrorKind(
     'bad_request',
     400,
-    'Correct the request as said and send it again.',
+    'Correct the request and send it again.',
 )
 BAD_SETTINGS = ErrorKind(
     'bad_settings',
@@ -74,7 +80,7 @@
 FORBIDDEN = ErrorKind(
     'forbidden',
     403,
-    'Use a key of an account that may do this.',
+    'Use a key of an account that is permitted to do this.',
 )
 NOT_FOUND = ErrorKind(
     'not_found',
@@ -89,7 +95,7 @@
 WRONG_METHOD = ErrorKind(
     'wrong_method',
     405,
-    'Use a method that the Allow header names.',
+    'Use a method listed in the Allow header.',
 )
 REQUEST_TIMEOUT = ErrorKind(
     'request_timeout',
@@ -99,7 +105,7 @@
 CONFLICT = ErrorKind(
     'conflict',
     409,
-    'Read what is in force, decide anew, and send again.',
+    'Read the current state, reconsider the change and send it again.',
 )
 KEY_REUSED = ErrorKind(
     'idempotency_key_reused',
@@ -110,7 +116,7 @@
     'already_started',
     409,
     'The first request with this Idempotency-Key was started and will not '
-    'be run again; check its effect before sending with a new key.',
+    'be run again; check its effect before you send it with a new key.',
     Run.UNKNOWN,
 )
 TOO_LARGE = ErrorKind(
@@ -131,12 +137,12 @@
 OVERLOADED = ErrorKind(
     'overloaded',
     429,
-    'Wait as long as Retry-After says and send again.',
+    'Wait for the time given in Retry-After and send again.',
 )
 NO_UPSTREAM = ErrorKind(
     'no_upstream',
     503,
-    'Wait as long as Retry-After says and send again.',
+    'Wait for the time given in Retry-After and send again.',
 )
 STORE_UNAVAILABLE = ErrorKind(
     'store_unavailable',
@@ -146,20 +152,20 @@
 STORE_OUTCOME_UNKNOWN = ErrorKind(
     'store_unsure',
     503,
-    'Send the same request with the same Idempotency-Key; it is settled '
-    'then and never done twice.',
+    'Send the same request with the same Idempotency-Key; that resolves its '
+    'outcome, and it is never run twice.',
     Run.UNKNOWN,
 )
 STOPPING = ErrorKind(
     'stopping',
     503,
-    'This instance is stopping; send again, another one will answer.',
+    'Send the request again; another instance will answer it.',
 )
 UPSTREAM_OUTCOME_UNKNOWN = ErrorKind(
     'outcome_unknown',
     502,
     'The upstream was lost after the request was sent; check its effect '
-    'before sending again.',
+    'before you send it again.',
     Run.UNKNOWN,
 )
 UPSTREAM_FAILED = ErrorKind(
@@ -171,14 +177,14 @@
 CUT_SHORT = ErrorKind(
     'cut_short',
     502,
-    'The answer is not complete; drop what came and send again.',
+    'The answer is incomplete; discard it and send the request again.',
     Run.UNKNOWN,
 )
 ANSWER_TIMEOUT = ErrorKind(
     'answer_timeout',
     504,
-    'The upstream did not answer in time; check the effect before sending '
-    'again.',
+    'The upstream did not answer in time; check the effect before you send '
+    'the request again.',
     Run.UNKNOWN,
 )
 NO_CONFIGURATION = ErrorKind(
@@ -189,6 +195,6 @@
 INTERNAL = ErrorKind(
     'internal',
     500,
-    'Report this with the time and the instance; the log has the cause.',
+    'Report this with the time and the instance; its log has the cause.',
     Run.UNKNOWN,
 )
--- a/gentiantrestle/events.py
+++ b/gentiantrestle/events.py
@@ -13,7 +13,7 @@
 
 
 class Event(NamedTuple):
-    """A kind of log entry: stable number, level and wording."""
+    """A kind of log entry: stable number, level and message template."""
 
     code: int
     level: str
@@ -34,20 +34,22 @@
 LEVEL_ERROR = 'ERROR'
 LEVEL_CRITICAL = 'CRITICAL'
 
-STARTED = _define(1001, LEVEL_INFO, 'instance {instance} started in {zone}')
+STARTED = _define(
+    1001, LEVEL_INFO, 'instance {instance} started in zone {zone}'
+)
 STOPPING = _define(
-    1002, LEVEL_INFO, 'stop asked by {signal}; finishing requests'
+    1002, LEVEL_INFO, 'received {signal}; finishing requests in flight'
 )
 STOPPED = _define(1003, LEVEL_INFO, 'stopped; requests cut: {cut}')
 CHILD_FAILED = _define(1004, LEVEL_ERROR, 'child {child} failed: {error}')
 CHILD_RESTARTED = _define(
-    1005, LEVEL_WARNING, 'child {child} restarts in {delay} s'
+    1005, LEVEL_WARNING, 'restarting child {child} in {delay} s'
 )
 CHILD_ABANDONED = _define(
-    1006, LEVEL_CRITICAL, 'child {child} failed too often'
+    1006, LEVEL_CRITICAL, 'child {child} exceeded its restart limit'
 )
 SETTINGS_CHANGED = _define(
-    1007, LEVEL_INFO, 'settings changed; none of them is in use'
+    1007, LEVEL_INFO, 'settings changed; nothing to reload'
 )
 STORE_UNREACHABLE = _define(
     2001, LEVEL_WARNING, 'store does not answer: {error}'
@@ -56,24 +58,34 @@
 WRITE_OUTCOME_RESOLVED = _define(
     2003,
     LEVEL_WARNING,
-    'answer to write of {name} was lost; settled as {outcome}',
+    'answer to write of {name} was lost; outcome after a read: {outcome}',
 )
 WRITE_UNANSWERED = _define(
-    2004, LEVEL_WARNING, 'no answer to write of {name}; again'
+    2004, LEVEL_WARNING, 'no answer to write of {name}; retrying'
 )
 MEMBER_ALIVE = _define(3001, LEVEL_INFO, 'instance {instance} is alive')
-MEMBER_LOST = _define(3002, LEVEL_WARNING, 'instance {instance} is silent')
+MEMBER_LOST = _define(
+    3002, LEVEL_WARNING, 'lost contact with instance {instance}'
+)
 UPSTREAM_LEAVING = _define(3003, LEVEL_INFO, 'upstream {upstream} is leaving')
-CONFIG_APPLIED = _define(4001, LEVEL_INFO, 'configuration {revision} in force')
+CONFIG_APPLIED = _define(4001, LEVEL_INFO, 'configuration {revision} applied')
 RELAY_ROLE_ACQUIRED = _define(
-    4003, LEVEL_INFO, 'this instance watches the store'
+    4003, LEVEL_INFO, 'this instance watches the store for its zone'
 )
 UPSTREAM_FAILED = _define(5001, LEVEL_WARNING, '{upstream} failed: {error}')
-ANSWER_CUT = _define(5002, LEVEL_WARNING, 'answer {attempt} cut: {error}')
-LATE_ANSWER = _define(5004, LEVEL_WARNING, 'late answer to call {call} dropped')
-REQUEST_FAILED = _define(5003, LEVEL_ERROR, 'request failed inside: {error}')
-JOB_ACCEPTED = _define(6001, LEVEL_INFO, 'job {job} accepted, {items} items')
-JOB_FINISHED = _define(6002, LEVEL_INFO, 'job {job} is {state}')
+ANSWER_CUT = _define(
+    5002, LEVEL_WARNING, 'answer to attempt {attempt} cut off: {error}'
+)
+LATE_ANSWER = _define(
+    5004, LEVEL_WARNING, 'late answer to peer call {call} dropped'
+)
+REQUEST_FAILED = _define(
+    5003, LEVEL_ERROR, 'internal error in a request: {error}'
+)
+JOB_ACCEPTED = _define(
+    6001, LEVEL_INFO, 'job {job} accepted with {items} items'
+)
+JOB_FINISHED = _define(6002, LEVEL_INFO, 'job {job} finished: {state}')
 CHUNK_CLAIMED = _define(
     6003, LEVEL_INFO, 'chunk {chunk} claimed, epoch {epoch}'
 )
@@ -83,96 +95,114 @@
 CHUNK_DONE = _define(6005, LEVEL_INFO, 'chunk {chunk} done')
 ITEM_FAILED = _define(6006, LEVEL_WARNING, 'item {item} failed: {error}')
 BATCH_FAILED = _define(
-    6007, LEVEL_ERROR, 'batch work on {chunk} failed: {error}'
+    6007, LEVEL_ERROR, 'batch work on chunk {chunk} failed: {error}'
 )
 RESULTS_UNSAVED = _define(
-    6008, LEVEL_WARNING, '{count} results of {chunk} wait'
+    6008, LEVEL_WARNING, '{count} results of {chunk} not saved yet; retrying'
 )
 
 
 STORE_UNEXPECTED_STATUS = _define(
-    2005, LEVEL_ERROR, 'store answered {status} to {call}: {answer}'
+    2005, LEVEL_ERROR, 'unexpected store status {status} for {call}: {answer}'
 )
 WATCH_LOST = _define(2006, LEVEL_WARNING, 'watch of {kind} lost: {error}')
-WATCH_CONNECTED = _define(2007, LEVEL_INFO, 'watch of {kind} at {revision}')
+WATCH_CONNECTED = _define(
+    2007, LEVEL_INFO, 'watch of {kind} connected at revision {revision}'
+)
 HISTORY_GONE = _define(
-    2008, LEVEL_WARNING, 'history of {kind} is gone; listing'
+    2008,
+    LEVEL_WARNING,
+    'store no longer has the history of {kind}; listing again',
 )
 STORE_CALL_FAILED = _define(
-    2009, LEVEL_WARNING, 'store call for {name}: {error}'
+    2009, LEVEL_WARNING, 'store call for {name} failed: {error}'
 )
 ENTRY_UNREADABLE = _define(
-    3004, LEVEL_WARNING, 'entry {name} is not used: {error}'
+    3004, LEVEL_WARNING, 'ignoring unusable entry {name}: {error}'
 )
 UPSTREAMS_CHANGED = _define(
     3005,
     LEVEL_INFO,
-    'upstreams at {revision}: {ready} ready, {draining} leaving, {gone} gone',
+    'upstreams at revision {revision}: {ready} ready, {draining} draining, '
+    '{gone} gone',
 )
 STATE_COPIED = _define(
     3006,
     LEVEL_INFO,
-    'copied from {instance}: configuration {version}, upstreams {revision}, '
-    'jobs {jobs}',
+    'copied state from {instance}: configuration {version}, '
+    'upstreams {revision}, jobs {jobs}',
 )
 WATCHER_ROLE_CHANGED = _define(
     3010, LEVEL_INFO, 'this instance watches the store for its zone: {held}'
 )
-PEER_FAILED = _define(3007, LEVEL_WARNING, 'call to {instance}: {error}')
-PULSE_UNREADABLE = _define(3008, LEVEL_WARNING, 'datagram not read: {error}')
+PEER_FAILED = _define(
+    3007, LEVEL_WARNING, 'call to instance {instance} failed: {error}'
+)
+PULSE_UNREADABLE = _define(
+    3008, LEVEL_WARNING, 'unreadable datagram dropped: {error}'
+)
 INSTANCE_RETIRED = _define(
-    3009, LEVEL_INFO, '{instance} holds nothing; retired'
+    3009, LEVEL_INFO, 'storage instance {instance} holds no data; retired'
 )
 REQUEST_PLACED = _define(
     5101,
     LEVEL_INFO,
-    'request {request} to {upstream} after {waited_ms} ms',
+    'request {request} placed on {upstream} after {waited_ms} ms',
 )
 REQUEST_REFUSED = _define(
     5102,
     LEVEL_INFO,
-    'request {request} refused: {service} has {upstreams} upstreams, '
+    'request {request} refused: {service} has {upstreams} usable upstreams, '
     'expected wait {expected_ms} ms',
 )
 ATTEMPT_ENDED = _define(
     5103,
     LEVEL_INFO,
-    'request {request} at {upstream}: {outcome} {reason}; {step}',
+    'attempt of request {request} on {upstream}: {outcome} {reason}; '
+    'next step: {step}',
 )
 REQUEST_ENDED = _define(
     5104,
     LEVEL_INFO,
-    'request {request} on {route}: {outcome} in {took_ms} ms',
+    'request {request} on {route} ended: {outcome} in {took_ms} ms',
 )
 BAD_REQUEST_REFUSED = _define(
-    5105, LEVEL_INFO, 'caller refused: {status} {reason}'
+    5105, LEVEL_INFO, 'invalid or incomplete request refused: {status} {reason}'
 )
 ITEM_RUN_ENDED = _define(
-    6101, LEVEL_INFO, 'item {item} at {upstream}: {reason} at {last_event}'
+    6101,
+    LEVEL_INFO,
+    'run of item {item} on {upstream} ended: {reason}; last event {last_event}',
+)
+ITEM_PLACED = _define(
+    6104, LEVEL_INFO, 'item {item} of job {job} placed on {upstream}'
 )
-ITEM_PLACED = _define(6104, LEVEL_INFO, 'item {item} of {job} to {upstream}')
 ITEM_PREEMPTED = _define(
-    6102, LEVEL_INFO, 'item {item} gives way on {upstream}'
+    6102, LEVEL_INFO, 'item {item} preempted on {upstream}'
+)
+JOBS_TAKEN_OVER = _define(
+    6103, LEVEL_INFO, 'took over the jobs accepted by {run}'
+)
+LINES_DROPPED = _define(
+    7001, LEVEL_WARNING, 'log buffer was full; {count} lines dropped'
 )
-JOBS_TAKEN_OVER = _define(6103, LEVEL_INFO, 'jobs of {run} are run here now')
-LINES_DROPPED = _define(7001, LEVEL_WARNING, '{count} log lines were dropped')
 
 
 def emit(event: Event, **fields: Any) -> None:
-    """Write one event with its fields to the log."""
+    """Log an event; each placeholder of its template needs a field."""
     bound = logger.bind(code=event.code, **fields)
     bound.log(event.level, event.template.format(**fields))
 
 
 def configure_sink(level: str, sink: Callable[[Any], None]) -> None:
-    """Send the log to ``sink``, which must not block."""
+    """Send log records to ``sink``, which must not block."""
     logger.remove()
     logger.configure(extra={'code': 0})
     logger.add(sink, level=level, format='{message}', catch=True)
 
 
 def configure(level: str, *, as_json: bool) -> None:
-    """Send the log to standard error, for a person or as JSON lines."""
+    """Send the log to standard error, as plain text or JSON lines."""
     logger.remove()
     logger.configure(extra={'code': 0})
     if as_json:
--- a/gentiantrestle/exit_status.py
+++ b/gentiantrestle/exit_status.py
@@ -5,7 +5,11 @@
 
 @unique
 class ExitStatus(IntEnum):
-    """What a finished process says to its caller."""
+    """Exit status of the daemon or the command-line tool.
+
+    ``REFUSED`` means that a call was not run, ``OUTCOME_UNKNOWN`` that it may
+    have been run.
+    """
 
     SUCCESS = 0
     ERROR = 1
--- a/gentiantrestle/metrics.py
+++ b/gentiantrestle/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges that /metrics shows."""
+"""Counters and gauges of the /metrics page."""
 
 from aioprometheus import Counter, Gauge, Registry, render
 
@@ -22,11 +22,11 @@
         )
         self.store_calls = self._counter(
             'gentiantrestle_store_calls_total',
-            'Calls to the object API; a waiting watch is one.',
+            'Calls to the object API; a long-polling watch counts as one.',
         )
         self.tokens = self._counter(
             'gentiantrestle_tokens_total',
-            'Stream events passed on to callers.',
+            'Stream events forwarded to callers.',
         )
         self.batch = self._counter(
             'gentiantrestle_batch_total',
@@ -43,11 +43,11 @@
 
     @classmethod
     def from_config(cls, cfg: Settings) -> 'Metrics':
-        """Label the metrics as the settings name the instance."""
+        """Use the instance and zone of the settings as labels."""
         return cls(cfg.instance, cfg.zone)
 
     def render(self, accepts: tuple[str, ...]) -> tuple[bytes, str]:
-        """Return the exposition text and its content type."""
+        """Return the body and content type for an ``Accept`` list."""
         body, headers = render(self.registry, list(accepts))
         return body, headers['Content-Type']
 
--- a/gentiantrestle/models.py
+++ b/gentiantrestle/models.py
@@ -1,22 +1,22 @@
-"""Plain data that more than one part of the system reads."""
+"""Addresses and the documents of a fleet configuration."""
 
 from typing import NamedTuple, NotRequired, TypedDict
 
 
 class Address(NamedTuple):
-    """Where a process listens."""
+    """IP address and port that a process listens on."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Read ``IP:PORT``."""
+        """Parse ``IP:PORT``; raise ``ValueError`` if the port is no number."""
         host, _, port = text.rpartition(':')
         return cls(host, int(port))
 
     def __str__(self) -> str:
-        """Write ``IP:PORT``."""
+        """Return ``IP:PORT``."""
         return f'{self.host}:{self.port}'
 
 
@@ -31,7 +31,7 @@
 
 
 class DeploymentDoc(TypedDict):
-    """A model as it is rolled out on upstreams."""
+    """A version of a model and the upstreams that serve it."""
 
     model: str
     version: str
@@ -40,7 +40,7 @@
 
 
 class EndpointDoc(TypedDict):
-    """A name that callers use for a deployment."""
+    """The name under which callers use a deployment."""
 
     deployment: str
     max_prompt: int
@@ -48,7 +48,7 @@
 
 
 class ClientDoc(TypedDict):
-    """A client account: hashed keys and limits."""
+    """A client account: hashes of its keys, its rights and limits."""
 
     key_hashes: list[str]
     admin: NotRequired[bool]
--- a/gentiantrestle/options.py
+++ b/gentiantrestle/options.py
@@ -1,4 +1,4 @@
-"""The daemon's settings as data: one entry for each."""
+"""Definitions of the daemon's settings."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,15 @@
 
 
 class Option(NamedTuple):
-    """One setting: its flag, default, unit, bounds and help text."""
+    """A setting: name of its flag, default, help text, unit and bounds.
+
+    An option whose default is ``None`` is required. ``low`` and ``high`` are
+    inclusive. The value of a secret is a SHA-256 in hex and is not printed.
+    """
 
     name: str
     default: str | int | float | bool | None
-    text: str
+    help_text: str
     unit: str = ''
     low: float | None = None
     high: float | None = None
@@ -19,12 +23,12 @@
 
     @property
     def env(self) -> str:
-        """Name the environment variable that sets this option."""
+        """Name of the environment variable of this option."""
         return ENV_PREFIX + self.name.upper()
 
     @property
     def required(self) -> bool:
-        """Tell whether the daemon can't start without this option."""
+        """Whether the daemon can't start without this option."""
         return self.default is None
 
 
@@ -33,29 +37,29 @@
 
 OPTIONS = (
     Option('instance', None, 'Name of this instance, unique in the fleet.'),
-    Option('zone', None, 'Availability zone this instance stands in.'),
+    Option('zone', None, 'Availability zone of this instance.'),
     Option('region', None, 'Region of the availability zone.'),
-    Option('host', '127.0.0.1', 'IP number to listen on and to announce.'),
+    Option('host', '127.0.0.1', 'IP address to listen on and to announce.'),
     Option('http_port', 8080, 'Port for callers.', 'port', 1, MAX_PORT),
     Option('peer_port', 8081, 'Port for peers.', 'port', 1, MAX_PORT),
-    Option('store', None, 'Address of the object API, IP:PORT.'),
+    Option('store', None, 'Address of the object store, IP:PORT.'),
     Option(
         'peers',
         '',
-        'Comma-separated IP:PORT of peers to greet at start; the live list '
-        'and heartbeats bring the others.',
+        'Comma-separated IP:PORT of peers to contact at start; other peers are '
+        'found through the live list in the store and through heartbeats.',
     ),
     Option(
         'admin_key_hash',
         '',
-        'SHA-256 in hex of the key that administers; empty means that the '
-        'configuration alone names administrators.',
+        'SHA-256 in hex of the administrator key; if it is empty, only the '
+        'configuration defines administrators.',
         secret=True,
     ),
     Option(
         'log_level',
         'INFO',
-        'Lowest level that is logged.',
+        'Lowest level to log.',
         choices=(
             'DEBUG',
             'INFO',
@@ -63,27 +67,77 @@
             'ERROR',
         ),
     ),
-    Option('log_json', False, 'Log JSON lines instead of text.'),
+    Option('log_json', False, 'Log JSON lines instead of plain text.'),
     Option('heartbeat', 0.25, 'Time between heartbeats.', 's', 0.05, 10),
-    Option('silence', 1.5, 'Silence after which a peer is lost.', 's', 0.2, 60),
-    Option('lease', 6.0, 'Lease of a chunk holder.', 's', 1, 300),
-    Option('grace', 30.0, 'Time a planned stop may take.', 's', 0, 600),
-    Option('store_timeout', 2.0, 'Longest store call.', 's', 0.1, 60),
-    Option('max_connections', 2000, 'Caller connections.', 'count', 1, 100000),
-    Option('max_body', MEBIBYTE, 'Largest online body.', 'bytes', 1024, None),
+    Option(
+        'silence',
+        1.5,
+        'Time without a heartbeat after which a peer is lost.',
+        's',
+        0.2,
+        60,
+    ),
+    Option('lease', 6.0, 'Duration of the lease on a chunk.', 's', 1, 300),
+    Option('grace', 30.0, 'Longest time for a graceful stop.', 's', 0, 600),
+    Option('store_timeout', 2.0, 'Timeout of a store call.', 's', 0.1, 60),
+    Option(
+        'max_connections',
+        2000,
+        'Most open caller connections.',
+        'count',
+        1,
+        100000,
+    ),
+    Option(
+        'max_body',
+        MEBIBYTE,
+        'Largest body of an online request.',
+        'bytes',
+        1024,
+        None,
+    ),
     Option(
         'max_batch_body',
         128 * MEBIBYTE,
-        'Largest batch body.',
+        'Largest body of a batch job.',
         'bytes',
         1024,
         None,
     ),
-    Option('header_timeout', 10.0, 'Time to send a header.', 's', 0.1, 300),
-    Option('idle_timeout', 75.0, 'Idle connection is kept.', 's', 1, 3600),
-    Option('stall_timeout', 30.0, 'Peer may stall a body.', 's', 0.1, 600),
-    Option('answer_timeout', 120.0, 'Wait for an answer.', 's', 0.1, 3600),
-    Option('queue_wait', 5.0, 'Longest wait for a slot.', 's', 0, 60),
-    Option('queue_length', 500, 'Waiting requests.', 'count', 0, 100000),
-    Option('batch_streams', 16, 'Batch items in flight.', 'count', 0, 10000),
+    Option(
+        'header_timeout',
+        10.0,
+        'Longest time to receive a request head.',
+        's',
+        0.1,
+        300,
+    ),
+    Option(
+        'idle_timeout',
+        75.0,
+        'Time that an idle connection stays open.',
+        's',
+        1,
+        3600,
+    ),
+    Option(
+        'stall_timeout',
+        30.0,
+        'Longest pause in the transfer of a body.',
+        's',
+        0.1,
+        600,
+    ),
+    Option(
+        'answer_timeout', 120.0, 'Longest wait for an answer.', 's', 0.1, 3600
+    ),
+    Option(
+        'queue_wait', 5.0, 'Longest wait in the queue for a slot.', 's', 0, 60
+    ),
+    Option(
+        'queue_length', 500, 'Most requests in the queue.', 'count', 0, 100000
+    ),
+    Option(
+        'batch_streams', 16, 'Most batch items in flight.', 'count', 0, 10000
+    ),
 )
--- a/gentiantrestle/supervisor.py
+++ b/gentiantrestle/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervisors: run children, restart them with backoff, or give up."""
+"""Run child tasks; restart failed ones with backoff up to a limit."""
 
 import asyncio
 from collections import deque
@@ -9,26 +9,30 @@
 
 FIRST_DELAY = 0.1  # seconds
 MAX_DELAY = 5.0  # seconds
-MAX_RESTARTS = 5
+MAX_RESTARTS = 5  # in RESTART_PERIOD
 RESTART_PERIOD = 60.0  # seconds
 
 
 class Child(NamedTuple):
-    """A part of the daemon that runs until it is cancelled."""
+    """A part of the daemon that the supervisor runs as a task."""
 
     name: str
     run: Callable[[], Awaitable[None]]
 
 
 class RestartPolicy:
-    """Decides what follows a child's failure."""
+    """Decides whether and when a failed child is restarted."""
 
     def __init__(self) -> None:
-        """Start with no failure seen."""
+        """Start without recorded failures."""
         self._failures: deque[float] = deque()
 
     def next_delay(self, now: float) -> float | None:
-        """Return the delay before a restart in s, or None to give up."""
+        """Record a failure at ``now``, a time in s.
+
+        Return the delay before the restart in s, or ``None`` if the restart
+        limit is exceeded.
+        """
         self._failures.append(now)
         while now - self._failures[0] > RESTART_PERIOD:
             self._failures.popleft()
@@ -39,45 +43,49 @@
 
 
 class RestartLimitError(Exception):
-    """A child failed more often than its rule allows."""
+    """A child failed more often than its restart policy allows."""
 
 
 class Supervisor:
-    """Runs children side by side; one that fails is restarted."""
+    """Runs children concurrently and restarts those that fail."""
 
     def __init__(
         self,
         children: tuple[Child, ...],
         now: Callable[[], float],
     ) -> None:
-        """Remember the children; the first one is started first."""
+        """Set the children, started in this order, and the clock in s."""
         self._children = children
         self._now = now
 
     async def run(self) -> None:
-        """Run until cancelled, or raise when a child is beyond help."""
+        """Run all children until they return or this task is cancelled.
+
+        Raise an ``ExceptionGroup`` with ``RestartLimitError`` if a child
+        exceeds the restart limit; the other children are then cancelled.
+        """
         async with asyncio.TaskGroup() as group:
             for child in self._children:
-                group.create_task(self._keep(child), name=child.name)
+                group.create_task(self._run_child(child), name=child.name)
 
-    async def _keep(self, child: Child) -> None:
-        rule = RestartPolicy()
+    async def _run_child(self, child: Child) -> None:
+        policy = RestartPolicy()
         while True:
             try:
                 await child.run()
-            except Exception as exc:  # noqa: BLE001 (its very task)
-                await self._recover(child, rule, exc)
+            except Exception as exc:  # noqa: BLE001 (any failure restarts)
+                await self._handle_failure(child, policy, exc)
             else:
                 return
 
-    async def _recover(
+    async def _handle_failure(
         self,
         child: Child,
-        rule: RestartPolicy,
+        policy: RestartPolicy,
         exc: Exception,
     ) -> None:
         events.emit(events.CHILD_FAILED, child=child.name, error=repr(exc))
-        delay = rule.next_delay(self._now())
+        delay = policy.next_delay(self._now())
         if delay is None:
             events.emit(events.CHILD_ABANDONED, child=child.name)
             raise RestartLimitError(child.name) from exc
