--- a/gentiantrestle/cli/configuration.py
+++ b/gentiantrestle/cli/configuration.py
@@ -23,7 +23,7 @@
 
 @command('report SCOPE', 'Show service-level burn: fleet, zone or instance.')
 def show_report(session: Session, scope: str) -> None:
-    """Print burn rates, jobs at risk and what is missing in the report."""
+    """Print burn rates, jobs at risk and instances without an answer."""
     report = _make_operator(session).report(scope)
     session.printer.print_table(report['rows'])
     session.printer.print_table(report['jobs'])
--- a/gentiantrestle/cli/jobs.py
+++ b/gentiantrestle/cli/jobs.py
@@ -21,7 +21,7 @@
 
 @command('jobs submit FILE', 'Submit a file of JSON lines as a job.')
 def submit_job(session: Session, path: str) -> None:
-    """Submit a file; the same key, or content without key, is one job."""
+    """Submit a file as a job; submitting it again returns the same job."""
     try:
         lines = Path(path).read_bytes()
     except OSError as exc:
--- a/gentiantrestle/library/connection.py
+++ b/gentiantrestle/library/connection.py
@@ -81,7 +81,7 @@
 
         Raise the same errors as ``call``.
         """
-        parts = self._parts(self._build_call(method, target, body, ()))
+        parts = self._iter_body(self._build_call(method, target, body, ()))
         try:
             while True:
                 part = self._runner.run(_next_part(parts))
@@ -109,9 +109,9 @@
         return Call(method, target, (*common, *headers), body)
 
     async def _fetch(self, call: Call) -> bytes:
-        return b''.join([part async for part in self._parts(call)])
+        return b''.join([part async for part in self._iter_body(call)])
 
-    async def _parts(self, call: Call) -> AsyncIterator[bytes]:
+    async def _iter_body(self, call: Call) -> AsyncIterator[bytes]:
         try:
             async with asyncio.timeout(RESPONSE_START_TIMEOUT):
                 conn = await ClientConnection.open(
--- a/gentiantrestle/options.py
+++ b/gentiantrestle/options.py
@@ -83,7 +83,7 @@
     Option(
         'max_connections',
         2000,
-        'Most open caller connections.',
+        'Limit of open caller connections.',
         'count',
         1,
         100000,
@@ -135,9 +135,19 @@
         'queue_wait', 5.0, 'Longest wait in the queue for a slot.', 's', 0, 60
     ),
     Option(
-        'queue_length', 500, 'Most requests in the queue.', 'count', 0, 100000
+        'queue_length',
+        500,
+        'Limit of requests in the queue.',
+        'count',
+        0,
+        100000,
     ),
     Option(
-        'batch_streams', 16, 'Most batch items in flight.', 'count', 0, 10000
+        'batch_streams',
+        16,
+        'Limit of batch items in flight.',
+        'count',
+        0,
+        10000,
     ),
 )
