--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -90,7 +90,7 @@
 
         Refused with ``TOO_LARGE``, ``OVERLOADED`` if the quota is used up,
         ``STORE_UNAVAILABLE`` if the job was not accepted, and
-        ``UPSTREAM_UNSURE`` if it may have been.
+        ``UPSTREAM_OUTCOME_UNKNOWN`` if it may have been.
         """
         if request.id in self._index.entries:
             return _accepted()
@@ -114,7 +114,9 @@
                 STORE_UNAVAILABLE, str(exc), STORE_RETRY_AFTER
             ) from exc
         except StoreUnsureError as exc:
-            raise refuse(UPSTREAM_OUTCOME_UNKNOWN, f'The store did not confirm the job: {exc}'
+            raise refuse(
+                UPSTREAM_OUTCOME_UNKNOWN,
+                f'The store did not confirm the job: {exc}',
             ) from exc
         events.emit(
             events.JOB_ACCEPTED, job=job.id, items=len(job.items), new=new
