--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -90,7 +90,7 @@
 
         Refused with ``TOO_LARGE``, ``OVERLOADED`` if the quota is used up,
         ``STORE_UNAVAILABLE`` if the job was not accepted, and
-        ``UPSTREAM_UNSURE`` if it may have been.
+        ``UPSTREAM_OUTCOME_UNKNOWN`` if it may have been.
         """
         if request.id in self._index.entries:
             return _accepted()
--- a/tests/processes/test_batch.py
+++ b/tests/processes/test_batch.py
@@ -71,7 +71,7 @@
     paused.send_signal(signal.SIGCONT)
     await until(lambda: fleet.is_ready(holder))
     assert status['request_counts']['completed'] == ITEMS
-    await until(lambda: b'is completed' in paused.log.read_bytes())
+    await until(lambda: b'finished: completed' in paused.log.read_bytes())
     await _assert_one_result_each(fleet, job, ITEMS)
 
 
@@ -190,7 +190,7 @@
     for index in range(3):
         await until(
             lambda index=index: (
-                b'is cancelled' in fleet.daemons[index].log.read_bytes()
+                b'finished: cancelled' in fleet.daemons[index].log.read_bytes()
             ),
         )
     runs = await fleet.engine_runs()
@@ -273,5 +273,5 @@
     await fleet.call(other, 'POST', f'/v1/batches/{job}/cancel')
     before = await fleet.results(other, job)
     paused.send_signal(signal.SIGCONT)
-    await until(lambda: b'is cancelled' in paused.log.read_bytes())
+    await until(lambda: b'finished: cancelled' in paused.log.read_bytes())
     assert await fleet.results(other, job) == before
