--- a/gentiantrestle/daemon/__init__.py
+++ b/gentiantrestle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: its folders are the children of the root supervisor."""
+"""The daemon; each folder is a child of the root supervisor."""
--- a/gentiantrestle/daemon/membership/__init__.py
+++ b/gentiantrestle/daemon/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances are alive, told by heartbeats between them."""
+"""Liveness of instances, by heartbeats, and calls between them."""
--- a/gentiantrestle/daemon/membership/codec.py
+++ b/gentiantrestle/daemon/membership/codec.py
@@ -1,4 +1,4 @@
-"""Turn members into thrift messages and back, and frame envelopes."""
+"""Convert members to and from thrift, and frame thrift envelopes."""
 
 import asyncio
 import struct
@@ -11,8 +11,8 @@
 from gentiantrestle.wire.peer import ttypes
 
 LENGTH = struct.Struct('>I')
-MAX_FRAME = 67108864  # bytes
-BROKEN = (
+MAX_FRAME_BYTES = 67108864
+DECODE_ERRORS = (
     TProtocolException,
     TTransportException,
     EOFError,
@@ -24,11 +24,11 @@
 
 
 class BadFrameError(Exception):
-    """What came is not an envelope."""
+    """The received bytes are not a valid envelope."""
 
 
 def encode(envelope: ttypes.Envelope) -> bytes:
-    """Write an envelope as one frame."""
+    """Encode an envelope as one frame with a length prefix."""
     transport = TMemoryBuffer()
     envelope.write(TCompactProtocolAccelerated(transport, fallback=True))
     payload = transport.getvalue()
@@ -36,39 +36,43 @@
 
 
 def decode(payload: bytes) -> ttypes.Envelope:
-    """Read an envelope; raise ``BadFrameError`` if it is none."""
+    """Decode a frame's payload; raise ``BadFrameError`` if it is invalid."""
     envelope = ttypes.Envelope()
     try:
         envelope.read(
             TCompactProtocolAccelerated(TMemoryBuffer(payload), fallback=True),
         )
         envelope.validate()
-    except BROKEN as exc:
+    except DECODE_ERRORS as exc:
         raise BadFrameError(repr(exc)) from exc
     return envelope
 
 
 async def read_frame(reader: asyncio.StreamReader) -> ttypes.Envelope:
-    """Read one framed envelope from a stream."""
-    head = await reader.readexactly(LENGTH.size)
-    size = LENGTH.unpack(head)[0]
-    if size > MAX_FRAME:
-        raise BadFrameError(f'frame of {size} bytes')
+    """Read one framed envelope from a stream.
+
+    Raises ``BadFrameError`` for a frame that is too large or invalid, and
+    ``asyncio.IncompleteReadError`` at the end of the stream.
+    """
+    header = await reader.readexactly(LENGTH.size)
+    size = LENGTH.unpack(header)[0]
+    if size > MAX_FRAME_BYTES:
+        raise BadFrameError(f'oversized frame of {size} bytes')
     return decode(await reader.readexactly(size))
 
 
 def member_to_wire(member: Member) -> ttypes.Member:
-    """Copy a member into its message."""
+    """Convert a member to its thrift structure."""
     fields = member._asdict()
     fields['loads'] = [ttypes.Load(*load) for load in member.loads]
     return ttypes.Member(**fields)
 
 
-def member_from_wire(told: ttypes.Member) -> Member:
-    """Copy a member out of its message."""
-    fields = {name: getattr(told, name) for name in Member._fields}
-    fields['state'] = State(told.state)
+def member_from_wire(wire: ttypes.Member) -> Member:
+    """Convert a thrift structure to a member."""
+    fields = {name: getattr(wire, name) for name in Member._fields}
+    fields['state'] = State(wire.state)
     fields['loads'] = tuple(
-        Load(load.upstream, load.online, load.batch) for load in told.loads
+        Load(load.upstream, load.online, load.batch) for load in wire.loads
     )
     return Member(**fields)
--- a/gentiantrestle/daemon/membership/peers.py
+++ b/gentiantrestle/daemon/membership/peers.py
@@ -1,4 +1,4 @@
-"""Calls between instances: framed thrift over kept connections."""
+"""Calls between instances: framed thrift over persistent connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,24 +16,24 @@
 from gentiantrestle.wire.peer.ttypes import Envelope
 
 CALL_TIMEOUT = 1.0  # seconds
-MAX_INBOUND = 2000
+MAX_INBOUND_CONNECTIONS = 2000
 
 PeerHandler: TypeAlias = Callable[[Envelope], Awaitable[Envelope]]
 
 
 class PeerError(Exception):
-    """The peer did not answer."""
+    """A call failed: no connection, no answer in time or no usable answer."""
 
 
 class PeerConnection:
-    """One connection to a peer; calls are matched by their number."""
+    """One connection to a peer; answers are matched by call number."""
 
     def __init__(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Start reading answers."""
+        """Start a task that reads the answers."""
         self._writer = writer
         self._calls = count(1)
         self._pending: dict[int, asyncio.Future[Envelope]] = {}
@@ -41,11 +41,15 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether calls can be sent."""
+        """Tell whether the connection is open and being read."""
         return not self._task.done() and not self._writer.is_closing()
 
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
-        """Send a call and wait for the answer with its number."""
+        """Send a call and return its answer.
+
+        Raises ``PeerError`` without an answer in ``timeout`` s, and when the
+        connection is lost.
+        """
         envelope.call = next(self._calls)
         fut = asyncio.get_running_loop().create_future()
         self._pending[envelope.call] = fut
@@ -59,12 +63,12 @@
             self._pending.pop(envelope.call, None)
 
     def close(self) -> None:
-        """Stop reading and close."""
+        """Stop reading and close the connection."""
         self._task.cancel()
         self._writer.close()
 
-    def _match(self, envelope: Envelope) -> None:
-        """Give an answer to its call; one that nobody awaits is dropped."""
+    def _resolve(self, envelope: Envelope) -> None:
+        """Hand an answer to its call; drop it if none is pending."""
         fut = self._pending.pop(envelope.call, None)
         if fut is None or fut.done():
             events.emit(events.LATE_ANSWER, call=envelope.call)
@@ -74,7 +78,7 @@
     async def _read(self, reader: asyncio.StreamReader) -> None:
         try:
             while True:
-                self._match(await read_frame(reader))
+                self._resolve(await read_frame(reader))
         except (BadFrameError, EOFError, ConnectionError):
             self._writer.close()
         finally:
@@ -84,12 +88,12 @@
 
 
 class PeerClient:
-    """Connections to all peers, opened when needed."""
+    """Connections to peers, one per address, opened on first use."""
 
     def __init__(self) -> None:
         """Start without connections."""
         self._conns: dict[Address, PeerConnection] = {}
-        self._opening: dict[Address, asyncio.Lock] = {}
+        self._connect_locks: dict[Address, asyncio.Lock] = {}
 
     async def call(
         self,
@@ -97,7 +101,11 @@
         envelope: Envelope,
         timeout: float = CALL_TIMEOUT,
     ) -> Envelope:
-        """Call a peer; raise ``PeerError`` if no answer comes."""
+        """Call a peer; raise ``PeerError`` if no answer comes.
+
+        ``timeout`` in s applies to connecting and to the call separately. A
+        failed call closes the connection.
+        """
         conn = await self._connect(address, timeout)
         try:
             return await conn.call(envelope, timeout)
@@ -116,7 +124,7 @@
         address: Address,
         timeout: float,
     ) -> PeerConnection:
-        async with self._opening.setdefault(address, asyncio.Lock()):
+        async with self._connect_locks.setdefault(address, asyncio.Lock()):
             conn = self._conns.get(address)
             if conn is not None and conn.usable:
                 return conn
@@ -134,18 +142,18 @@
     """Answers the calls of other instances."""
 
     def __init__(self, handle: PeerHandler) -> None:
-        """Serve with ``handle``; its answer gets the call's number."""
+        """Answer calls with ``handle``; the call's number is added here."""
         self._handle = handle
-        self._open: set[asyncio.Task[None]] = set()
+        self._connection_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, address: Address) -> None:
-        """Listen until cancelled."""
+        """Listen on an address until cancelled."""
         server = await asyncio.start_server(self._accept, *address)
         try:
             await server.serve_forever()
         finally:
             server.close()
-            for task in tuple(self._open):
+            for task in tuple(self._connection_tasks):
                 task.cancel()
 
     async def _accept(
@@ -154,16 +162,16 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         task = asyncio.current_task()
-        self._open.add(task)
+        self._connection_tasks.add(task)
         try:
-            if len(self._open) <= MAX_INBOUND:
+            if len(self._connection_tasks) <= MAX_INBOUND_CONNECTIONS:
                 await self._serve(reader, writer)
         except (BadFrameError, EOFError, ConnectionError):
             return
         except asyncio.CancelledError:
             return
         finally:
-            self._open.discard(task)
+            self._connection_tasks.discard(task)
             with suppress(ConnectionError):
                 writer.close()
 
--- a/gentiantrestle/daemon/membership/rendezvous.py
+++ b/gentiantrestle/daemon/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every instance finds the same owner of a key."""
+"""Rendezvous hashing: all instances agree on the owner of a key."""
 
 from collections.abc import Iterable
 
@@ -6,19 +6,19 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Order names by their weight for a key, the owner first."""
+    """Return names by descending weight for a key; the first is the owner."""
     return sorted(
         names,
-        key=lambda name: (_weigh(key, name), name),
+        key=lambda name: (_weight(key, name), name),
         reverse=True,
     )
 
 
-def _weigh(key: str, name: str) -> int:
+def _weight(key: str, name: str) -> int:
     return xxhash.xxh64_intdigest(f'{key}\0{name}'.encode())
 
 
 def owner(key: str, names: Iterable[str]) -> str | None:
-    """Return the owner of a key, or nothing where no name is given."""
+    """Return the owner of a key, or ``None`` if there are no names."""
     ranked = rank(key, names)
     return ranked[0] if ranked else None
--- a/gentiantrestle/daemon/membership/service.py
+++ b/gentiantrestle/daemon/membership/service.py
@@ -1,4 +1,4 @@
-"""Exchange heartbeats with a few peers at each tick."""
+"""Exchange heartbeats with a few peers in each heartbeat period."""
 
 import asyncio
 import random
@@ -22,39 +22,39 @@
 from gentiantrestle.wire.peer.ttypes import Envelope, Heartbeat
 from gentiantrestle.wire.peer.ttypes import Member as WireMember
 
-ZONE_FANOUT = 3
-FAR_FANOUT = 1
+SAME_ZONE_FANOUT = 3
+OTHER_ZONES_FANOUT = 1
 FORGET_AFTER = 600.0  # seconds
 
 
-class Written(NamedTuple):
-    """A member and its message."""
+class EncodedMember(NamedTuple):
+    """A member and its thrift structure."""
 
     member: Member
     wire: WireMember
 
 
 class Membership:
-    """The child that keeps the view of live instances."""
+    """The child that exchanges heartbeats and keeps the membership view."""
 
     def __init__(self, ctx: Context, view: MembershipView) -> None:
-        """Keep the view; other children add their peer calls."""
+        """Handle heartbeats; other children register their own handlers."""
         self._ctx = ctx
         self.view = view
         self.peers = PeerClient()
-        self._answers: dict[str, PeerHandler] = {
+        self._handlers: dict[str, PeerHandler] = {
             'heartbeat': self._answer_heartbeat,
         }
         self._random = random.Random(ctx.incarnation)
         self._lost: set[str] = set()
-        self._written: dict[str, Written] = {}
-        self._beats: set[asyncio.Task[None]] = set()
+        self._encoded: dict[str, EncodedMember] = {}
+        self._exchange_tasks: set[asyncio.Task[None]] = set()
 
     @classmethod
     def from_config(cls, ctx: Context) -> 'Membership':
-        """Introduce this instance as its settings name it."""
+        """Create the child for the instance of the settings, in STARTING."""
         cfg = ctx.cfg
-        me = Member(
+        local_member = Member(
             instance=cfg.instance,
             incarnation=ctx.incarnation,
             beat=0,
@@ -65,40 +65,40 @@
             http_port=cfg.http_port,
             state=State.STARTING,
         )
-        return cls(ctx, MembershipView(me, cfg.silence))
+        return cls(ctx, MembershipView(local_member, cfg.silence))
 
     def register_handler(
         self,
         field: str,
         handle: PeerHandler,
     ) -> None:
-        """Answer envelopes that carry ``field`` with ``handle``."""
-        self._answers[field] = handle
+        """Answer envelopes whose ``field`` is set with ``handle``."""
+        self._handlers[field] = handle
 
     async def call(self, member: Member, envelope: Envelope) -> Envelope:
-        """Call one member."""
+        """Call a member; raise ``PeerError`` if no answer comes."""
         return await self.peers.call(_address(member), envelope)
 
     async def run(self) -> None:
-        """Serve peers and send heartbeats until cancelled."""
-        server = PeerServer(self._answer)
+        """Answer peers and send heartbeats until cancelled."""
+        server = PeerServer(self._dispatch)
         address = Address(self._ctx.cfg.host, self._ctx.cfg.peer_port)
         async with asyncio.TaskGroup() as group:
             group.create_task(server.run(address))
-            group.create_task(self._beat_for_ever())
+            group.create_task(self._send_heartbeats())
 
     async def announce(self) -> None:
-        """Tell all live members at once, as when leaving."""
+        """Send a heartbeat to every known member at once, as when leaving."""
         self.view.tick(self._ctx.now())
         addresses = {
             _address(member)
             for member in self.view.members()
-            if member.instance != self.view.me.instance
+            if member.instance != self.view.local_member.instance
         }
         await asyncio.gather(*map(self._exchange, addresses))
 
-    async def _answer(self, envelope: Envelope) -> Envelope:
-        for field, handle in self._answers.items():
+    async def _dispatch(self, envelope: Envelope) -> Envelope:
+        for field, handle in self._handlers.items():
             if getattr(envelope, field) is not None:
                 return await handle(envelope)
         return Envelope()
@@ -107,43 +107,47 @@
         self._merge(envelope.heartbeat)
         return Envelope(heartbeat=self._heartbeat())
 
-    async def _beat_for_ever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             now = self._ctx.now()
             self.view.tick(now)
             self.view.forget(now, FORGET_AFTER)
-            for address in self._choose(now):
+            for address in self._choose_peers(now):
                 task = asyncio.create_task(self._exchange(address))
-                self._beats.add(task)
-                task.add_done_callback(self._beats.discard)
-            self._note_lost(now)
+                self._exchange_tasks.add(task)
+                task.add_done_callback(self._exchange_tasks.discard)
+            self._report_lost(now)
             await asyncio.sleep(self._ctx.cfg.heartbeat)
 
-    def _choose(self, now: float) -> set[Address]:
+    def _choose_peers(self, now: float) -> set[Address]:
         zone = self._ctx.cfg.zone
         alive = [
             member
             for member in self.view.live_members(now)
-            if member.instance != self.view.me.instance
+            if member.instance != self.view.local_member.instance
         ]
-        near = [member for member in alive if member.zone == zone]
-        far = [member for member in alive if member.zone != zone]
+        same_zone = [member for member in alive if member.zone == zone]
+        other_zones = [member for member in alive if member.zone != zone]
         chosen = {
-            *map(_address, self._sample(near, ZONE_FANOUT)),
-            *map(_address, self._sample(far, FAR_FANOUT)),
+            *map(_address, self._sample(same_zone, SAME_ZONE_FANOUT)),
+            *map(_address, self._sample(other_zones, OTHER_ZONES_FANOUT)),
         }
-        chosen.update(self._strangers(now))
+        chosen.update(self._pick_silent(now))
         return chosen
 
     def _sample(self, members: list[Member], size: int) -> list[Member]:
         return self._random.sample(members, min(size, len(members)))
 
-    def _strangers(self, now: float) -> Iterator[Address]:
-        """Yield one known address that is not heard of, to knock at."""
+    def _pick_silent(self, now: float) -> Iterator[Address]:
+        """Yield a random address among silent members and configured peers.
+
+        These heartbeats find the first peers after a start, and zones again
+        after a partition.
+        """
         alive = {_address(member) for member in self.view.live_members(now)}
         known = {_address(member) for member in self.view.members()}
         known.update(self._ctx.cfg.peer_addresses)
-        silent = sorted(known - alive - {_address(self.view.me)})
+        silent = sorted(known - alive - {_address(self.view.local_member)})
         if silent:
             yield self._random.choice(silent)
 
@@ -160,30 +164,30 @@
         return Heartbeat(members=list(map(self._to_wire, self.view.members())))
 
     def _to_wire(self, member: Member) -> WireMember:
-        """Turn a member into its message; one that is unchanged is reused."""
-        kept = self._written.get(member.instance)
-        if kept is None or kept.member is not member:
-            kept = Written(member, member_to_wire(member))
-            self._written[member.instance] = kept
-        return kept.wire
+        """Convert a member to thrift; cached while the member is unchanged."""
+        cached = self._encoded.get(member.instance)
+        if cached is None or cached.member is not member:
+            cached = EncodedMember(member, member_to_wire(member))
+            self._encoded[member.instance] = cached
+        return cached.wire
 
     def _merge(self, heartbeat: Heartbeat) -> None:
-        told = [
+        newer = [
             member_from_wire(member)
             for member in heartbeat.members
-            if self.view.is_news(
+            if self.view.is_newer(
                 member.instance,
                 (member.incarnation, member.beat),
             )
         ]
-        for instance in self.view.merge(told, self._ctx.now()):
+        for instance in self.view.merge(newer, self._ctx.now()):
             self._lost.discard(instance)
             events.emit(events.MEMBER_ALIVE, instance=instance)
 
-    def _note_lost(self, now: float) -> None:
+    def _report_lost(self, now: float) -> None:
         names = {member.instance for member in self.view.members()}
         for instance in names - set(self.view.live_names(now)) - self._lost:
-            if instance != self.view.me.instance:
+            if instance != self.view.local_member.instance:
                 self._lost.add(instance)
                 events.emit(events.MEMBER_LOST, instance=instance)
 
--- a/gentiantrestle/daemon/membership/view.py
+++ b/gentiantrestle/daemon/membership/view.py
@@ -1,15 +1,15 @@
-"""What one instance knows of the others; decisions only, no I/O."""
+"""One instance's view of the members and their liveness, without I/O."""
 
 from collections.abc import Iterable, Iterator
 from enum import IntEnum
 from typing import NamedTuple
 
-DOUBT_TERMS = 4
-MISSING_TERMS = 2
+SUSPECT_SILENCES = 4  # times the silence timeout
+MISSING_SILENCES = 2  # times the silence timeout
 
 
 class State(IntEnum):
-    """Stage of an instance's life."""
+    """Lifecycle state of an instance."""
 
     STARTING = 0
     SERVING = 1
@@ -25,7 +25,7 @@
 
 
 class Member(NamedTuple):
-    """What an instance says of itself; a higher stamp is newer."""
+    """State that an instance reports of itself; a higher stamp is newer."""
 
     instance: str
     incarnation: int
@@ -42,75 +42,90 @@
 
     @property
     def stamp(self) -> tuple[int, int]:
-        """Order of what one instance has said."""
+        """Version of the report, comparable within one instance."""
         return (self.incarnation, self.beat)
 
 
-class Heard(NamedTuple):
-    """A member and when its beat last advanced, in s."""
+class KnownMember(NamedTuple):
+    """A member and the local time in s when its beat last advanced."""
 
     member: Member
-    at: float
+    last_advanced: float
 
 
 class MembershipView:
-    """Members and their liveness, by silence on the local clock."""
+    """Known members; one is alive while its beat advances.
 
-    def __init__(self, me: Member, silence: float) -> None:
-        """Start alone; ``silence`` in s makes a member lost."""
-        self.me = me
+    Silence is measured on the local monotonic clock, in s.
+    """
+
+    def __init__(self, local_member: Member, silence: float) -> None:
+        """Start with this instance's member.
+
+        Others count as lost after ``silence`` s.
+        """
+        self.local_member = local_member
         self._silence = silence
-        self._heard: dict[str, Heard] = {}
+        self._known: dict[str, KnownMember] = {}
         self._last_tick: float | None = None
 
     def tick(self, now: float) -> None:
-        """Advance the own beat; forgive silence the own pause has caused."""
-        self.me = self.me._replace(beat=self.me.beat + 1)
+        """Advance this instance's beat.
+
+        After a pause of this process, members that were alive at the previous
+        tick count as just heard from, as the pause caused their silence.
+        """
+        self.local_member = self.local_member._replace(
+            beat=self.local_member.beat + 1
+        )
         last = self._last_tick
         self._last_tick = now
         if last is None or now - last <= self._silence / 2:
             return
-        for name, heard in self._heard.items():
-            if last - heard.at <= self._silence:
-                self._heard[name] = heard._replace(at=now)
+        for name, known in self._known.items():
+            if last - known.last_advanced <= self._silence:
+                self._known[name] = known._replace(last_advanced=now)
 
     def update_local(self, **changes: object) -> None:
-        """Change what the own entry tells; leaving is final."""
-        if self.me.state is State.LEAVING:
+        """Change fields of this instance's member; LEAVING is final."""
+        if self.local_member.state is State.LEAVING:
             changes.pop('state', None)
-        self.me = self.me._replace(**changes)
+        self.local_member = self.local_member._replace(**changes)
 
     def merge(self, members: Iterable[Member], now: float) -> list[str]:
-        """Take in what is newer; return the names that came alive."""
-        woken = []
+        """Store newer members; return the instances that became alive."""
+        became_alive = []
         for member in members:
-            if member.instance == self.me.instance:
+            if member.instance == self.local_member.instance:
                 continue
-            if self._take(member, now):
-                woken.append(member.instance)
-        return woken
+            if self._merge_member(member, now):
+                became_alive.append(member.instance)
+        return became_alive
 
-    def is_news(self, instance: str, stamp: tuple[int, int]) -> bool:
-        """Tell whether a stamp is newer than what is known."""
-        if instance == self.me.instance:
+    def is_newer(self, instance: str, stamp: tuple[int, int]) -> bool:
+        """Tell whether another instance's stamp is newer than the known one."""
+        if instance == self.local_member.instance:
             return False
-        heard = self._heard.get(instance)
-        return heard is None or stamp > heard.member.stamp
+        known = self._known.get(instance)
+        return known is None or stamp > known.member.stamp
 
     def members(self) -> tuple[Member, ...]:
-        """All that is known, the own entry first."""
-        return (self.me, *(heard.member for heard in self._heard.values()))
+        """Return all known members, this instance first."""
+        return (
+            self.local_member,
+            *(known.member for known in self._known.values()),
+        )
 
     def live_members(self, now: float) -> Iterator[Member]:
-        """Members that are heard of and not leaving, the own one first."""
-        if self.me.state is not State.LEAVING:
-            yield self.me
-        for heard in self._heard.values():
-            if self._is_alive(heard, now):
-                yield heard.member
+        """Yield members that are not silent or leaving, this instance first."""
+        if self.local_member.state is not State.LEAVING:
+            yield self.local_member
+        for known in self._known.values():
+            if self._is_alive(known, now):
+                yield known.member
 
     def live_names(self, now: float, zone: str | None = None) -> list[str]:
-        """Names of live members, of one zone if given."""
+        """Return the names of live members, of one zone if given."""
         return [
             member.instance
             for member in self.live_members(now)
@@ -118,77 +133,83 @@
         ]
 
     def is_alive(self, instance: str, incarnation: int, now: float) -> bool:
-        """Tell whether just this incarnation of an instance is alive."""
-        if instance == self.me.instance:
-            return incarnation == self.me.incarnation
-        heard = self._heard.get(instance)
-        if heard is None or heard.member.incarnation != incarnation:
+        """Tell whether this very incarnation of an instance is alive."""
+        if instance == self.local_member.instance:
+            return incarnation == self.local_member.incarnation
+        known = self._known.get(instance)
+        if known is None or known.member.incarnation != incarnation:
             return False
-        return self._is_alive(heard, now)
+        return self._is_alive(known, now)
 
-    def count_suspects(self, now: float, zone: str, quiet: float) -> int:
-        """Count a zone's members that are quiet, but not for long enough.
+    def count_suspects(
+        self, now: float, zone: str, suspect_after: float
+    ) -> int:
+        """Count a zone's serving members whose liveness is uncertain.
 
-        ``quiet`` in s is when doubt begins; it ends a while after the
-        member counts as lost.
+        A member is suspect once it has been silent for more than
+        ``suspect_after`` s, and until ``SUSPECT_SILENCES`` silence timeouts.
         """
         return sum(
-            quiet < now - heard.at <= self._silence * DOUBT_TERMS
-            for heard in self._heard.values()
-            if heard.member.zone == zone and heard.member.state is State.SERVING
+            suspect_after
+            < now - known.last_advanced
+            <= self._silence * SUSPECT_SILENCES
+            for known in self._known.values()
+            if known.member.zone == zone and known.member.state is State.SERVING
         )
 
     def is_missing(self, instance: str, now: float) -> bool:
-        """Tell whether an instance is gone while its zone is in reach.
+        """Tell whether an instance is gone while its zone is reachable.
 
-        A whole zone that is silent may be cut off and go on working.
+        If the whole zone is silent it may be partitioned and still working,
+        so none of its instances counts as missing.
         """
-        heard = self._heard.get(instance)
-        if heard is None or self._is_alive(heard, now):
+        known = self._known.get(instance)
+        if known is None or self._is_alive(known, now):
             return False
-        if now - heard.at <= self._silence * MISSING_TERMS:
+        if now - known.last_advanced <= self._silence * MISSING_SILENCES:
             return False
-        zone = heard.member.zone
+        zone = known.member.zone
         return any(member.zone == zone for member in self.live_members(now))
 
     def find(self, instance: str) -> Member | None:
-        """Look a member up by name."""
-        if instance == self.me.instance:
-            return self.me
-        heard = self._heard.get(instance)
-        return heard.member if heard else None
+        """Return a member by name, or ``None`` if it is unknown."""
+        if instance == self.local_member.instance:
+            return self.local_member
+        known = self._known.get(instance)
+        return known.member if known else None
 
     def region_of(self, zone: str) -> str:
-        """Name the region of a zone, as its members say; empty if unknown."""
+        """Return the region of a zone by its members; empty if unknown."""
         for member in self.members():
             if member.zone == zone:
                 return member.region
         return ''
 
     def forget(self, now: float, after: float) -> None:
-        """Drop members that were silent for ``after`` seconds."""
-        for name, heard in tuple(self._heard.items()):
-            if now - heard.at > after:
-                self._heard.pop(name)
+        """Drop members that were silent for more than ``after`` s."""
+        for name, known in tuple(self._known.items()):
+            if now - known.last_advanced > after:
+                self._known.pop(name)
 
-    def _is_alive(self, heard: Heard, now: float) -> bool:
-        if heard.member.state is State.LEAVING:
+    def _is_alive(self, known: KnownMember, now: float) -> bool:
+        if known.member.state is State.LEAVING:
             return False
-        return now - heard.at <= self._silence
+        return now - known.last_advanced <= self._silence
 
-    def _take(self, member: Member, now: float) -> bool:
-        known = self._heard.get(member.instance)
+    def _merge_member(self, member: Member, now: float) -> bool:
+        known = self._known.get(member.instance)
         if known is not None and member.stamp <= known.member.stamp:
             return False
         was_alive = known is not None and self._is_alive(known, now)
-        if known is not None and _keeps_leaving(known.member, member):
+        if known is not None and _stays_leaving(known.member, member):
             member = member._replace(state=State.LEAVING)
-        heard = Heard(member, now)
-        self._heard[member.instance] = heard
-        return self._is_alive(heard, now) and not was_alive
+        updated = KnownMember(member, now)
+        self._known[member.instance] = updated
+        return self._is_alive(updated, now) and not was_alive
 
 
-def _keeps_leaving(known: Member, told: Member) -> bool:
+def _stays_leaving(known: Member, received: Member) -> bool:
     return (
-        known.state is State.LEAVING and known.incarnation == told.incarnation
+        known.state is State.LEAVING
+        and known.incarnation == received.incarnation
     )
--- a/gentiantrestle/daemon/tree.py
+++ b/gentiantrestle/daemon/tree.py
@@ -1,4 +1,4 @@
-"""The root supervisor and its children, in the order of their needs."""
+"""The root supervisor and its children, in the order they are started."""
 
 import asyncio
 
@@ -21,10 +21,10 @@
 
 
 class SupervisionTree:
-    """All children of the daemon."""
+    """The children of the daemon and their root supervisor."""
 
     def __init__(self, components: Components) -> None:
-        """Supervise the components; each is a folder beside this module."""
+        """Create a supervisor child for each component that runs."""
         self.components = components
         self._entry = Entry(components)
         self._supervisor = Supervisor(
@@ -42,7 +42,7 @@
 
     @classmethod
     def from_config(cls, ctx: Context) -> 'SupervisionTree':
-        """Build the children, each with what it needs of the others."""
+        """Build the components and connect them to each other."""
         store = StoreClient(ctx)
         membership = Membership.from_config(ctx)
         configuration = Configuration(ctx, store, membership)
@@ -70,7 +70,11 @@
             group.create_task(self._serve_when_loaded())
 
     async def stop(self, grace: float) -> int:
-        """Leave, hand batch work over, finish requests; count the cut."""
+        """Announce leaving, hand over batch work and finish open requests.
+
+        ``grace`` in s bounds each wait for requests in flight; returns how many
+        of them were cut off.
+        """
         view = self.components.membership.view
         view.update_local(state=State.LEAVING)
         self._entry.stopping = True
