--- a/gentiantrestle/daemon/configuration/__init__.py
+++ b/gentiantrestle/daemon/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's configuration and the copy of the store it comes in."""
+"""The fleet's configuration, and the mirror of the store that holds it."""
--- a/gentiantrestle/daemon/configuration/admin.py
+++ b/gentiantrestle/daemon/configuration/admin.py
@@ -1,11 +1,14 @@
-"""Accept configurations: checked as a whole, written under a condition."""
+"""Validate new configurations and write them if their base is current."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
 from gentiantrestle.context import Context
 from gentiantrestle.daemon.configuration.document import KINDS, validate
-from gentiantrestle.daemon.configuration.service import FLEET, Configuration
+from gentiantrestle.daemon.configuration.service import (
+    FLEET_OBJECT,
+    Configuration,
+)
 from gentiantrestle.errors import (
     BAD_SETTINGS,
     CONFLICT,
@@ -25,18 +28,22 @@
 )
 
 RETRY_AFTER = 2  # seconds
-HISTORY = 'history/fleet/'
+HISTORY_PREFIX = 'history/fleet/'
 
 
 class Proposal(NamedTuple):
-    """A configuration, and the revision that it was made from."""
+    """A proposed configuration, and the revision that it is based on."""
 
     document: Mapping[str, Any]
     based_on: int
 
 
-def decide(proposal: Proposal, current: int) -> FleetDoc | Refusal:
-    """Return the next configuration, or why there is none."""
+def check_proposal(proposal: Proposal, current: int) -> FleetDoc | Refusal:
+    """Return the next configuration, or a refusal.
+
+    Refused are invalid configurations and those whose base is not the
+    ``current`` revision.
+    """
     problems = validate(proposal.document)
     if problems:
         listed = '; '.join(
@@ -55,7 +62,7 @@
 
 
 class Admin:
-    """Reads, accepts and recalls configurations."""
+    """Applies configurations and reads earlier ones."""
 
     def __init__(
         self,
@@ -63,13 +70,16 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """Write through the store; copy what is written."""
+        """Write to the store, and update the local mirror with the result."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
 
     async def apply(self, proposal: Proposal) -> FleetDoc | Refusal:
-        """Put a configuration in force if its base is still in force."""
+        """Put a configuration in force if its base is still in force.
+
+        Store failures are returned as refusals, not raised.
+        """
         try:
             return await self._apply(proposal)
         except StoreUnavailableError:
@@ -86,8 +96,12 @@
                 RETRY_AFTER,
             )
 
-    async def recall(self, revision: int) -> FleetDoc:
-        """Read an earlier configuration."""
+    async def read_revision(self, revision: int) -> FleetDoc:
+        """Return an earlier configuration, or the one in force.
+
+        Raises ``RefusedError`` if the revision is unknown or the store does not
+        answer.
+        """
         try:
             found = await self._store.get(_history_name(revision))
         except StoreUnavailableError:
@@ -101,34 +115,36 @@
             return in_force
         if found is None:
             raise refuse(NOT_FOUND, f'There is no revision {revision}')
-        return _clean(found.document)
+        return _to_fleet_doc(found.document)
 
     async def _apply(self, proposal: Proposal) -> FleetDoc | Refusal:
-        found = await self._store.get(FLEET)
+        found = await self._store.get(FLEET_OBJECT)
         current = found or VersionedDocument(ABSENT, dict(EMPTY_FLEET))
-        wanted = decide(proposal, current.document['revision'])
-        if isinstance(wanted, Refusal):
-            return wanted
-        await self._keep(current.document)
-        written = await self._store.put(FLEET, dict(wanted), current.version)
+        checked = check_proposal(proposal, current.document['revision'])
+        if isinstance(checked, Refusal):
+            return checked
+        await self._archive(current.document)
+        written = await self._store.put(
+            FLEET_OBJECT, dict(checked), current.version
+        )
         if isinstance(written, VersionedDocument):
             self._configuration.update_mirror(
-                FLEET, written.version, written.document
+                FLEET_OBJECT, written.version, written.document
             )
-            return wanted
-        found = await self._store.get(FLEET)
-        return decide(proposal, found.document['revision'])
+            return checked
+        found = await self._store.get(FLEET_OBJECT)
+        return check_proposal(proposal, found.document['revision'])
 
-    async def _keep(self, document: Mapping[str, Any]) -> None:
-        """Keep the configuration that is about to be replaced."""
+    async def _archive(self, document: Mapping[str, Any]) -> None:
+        """Store the configuration that is about to be replaced as history."""
         name = _history_name(document['revision'])
-        await self._store.put(name, dict(_clean(document)), ABSENT)
+        await self._store.put(name, dict(_to_fleet_doc(document)), ABSENT)
 
 
 def _history_name(revision: int) -> str:
-    return f'{HISTORY}{revision}'
+    return f'{HISTORY_PREFIX}{revision}'
 
 
-def _clean(document: Mapping[str, Any]) -> FleetDoc:
+def _to_fleet_doc(document: Mapping[str, Any]) -> FleetDoc:
     kinds = {kind: document[kind] for kind in KINDS}
     return FleetDoc(revision=document['revision'], **kinds)
--- a/gentiantrestle/daemon/configuration/document.py
+++ b/gentiantrestle/daemon/configuration/document.py
@@ -1,4 +1,4 @@
-"""Check a configuration as a whole and name every problem at once."""
+"""Validate a whole configuration and list all of its problems."""
 
 import ipaddress
 from collections.abc import Callable, Iterator, Mapping
@@ -22,13 +22,13 @@
 }
 UPSTREAM_KINDS = frozenset(('engine', 'service'))
 MAX_SLOTS = 4096
-MAX_PROMPT = 16777216  # characters
+MAX_PROMPT_LENGTH = 16777216  # characters
 SHA256_HEX_LENGTH = 64
-MAX_NAME = 128
+MAX_NAME_LENGTH = 128
 
 
 class Problem(NamedTuple):
-    """A wrong field, what is wrong with it, and what helps."""
+    """An invalid field, the reason, and how to correct it."""
 
     field: str
     reason: str
@@ -41,8 +41,8 @@
 CHECKS: dict[str, Check] = {}
 
 
-def checks(kind: str) -> Callable[[Check], Check]:
-    """Register the check of one kind of entry."""
+def register_check(kind: str) -> Callable[[Check], Check]:
+    """Return a decorator that registers the check of one kind of entry."""
 
     def register(check: Check) -> Check:
         CHECKS[kind] = check
@@ -52,33 +52,42 @@
 
 
 def validate(document: Mapping[str, Any]) -> list[Problem]:
-    """Return every problem of a configuration; none means valid."""
-    problems = list(_shape_problems(document))
+    """Return all problems of a configuration; an empty list means valid.
+
+    References and ranges are checked only if all fields have valid types.
+    """
+    problems = list(_schema_problems(document))
     if problems:
         return problems
-    return list(_meaning_problems(document))
+    return list(_semantic_problems(document))
 
 
-def _shape_problems(document: Mapping[str, Any]) -> Iterator[Problem]:
+def _schema_problems(document: Mapping[str, Any]) -> Iterator[Problem]:
     for name in sorted(set(document) - set(KINDS) - {'revision'}):
         yield Problem(name, 'unknown field', f'Use one of {sorted(KINDS)}.')
-    for kind, shape in KINDS.items():
+    for kind, schema in KINDS.items():
         entries = document.get(kind)
         if not isinstance(entries, dict):
-            yield Problem(kind, 'is not an object', f'Give {kind} by name.')
+            yield Problem(
+                kind, 'is not an object', f'Use an object with {kind} by name.'
+            )
             continue
         for name, entry in entries.items():
-            yield from _entry_problems(f'{kind}.{name}', entry, shape)
+            yield from _entry_problems(f'{kind}.{name}', entry, schema)
 
 
 def _entry_problems(
     field: str,
     entry: Any,
-    shape: type,
+    schema: type,
 ) -> Iterator[Problem]:
-    known = get_type_hints(shape)
+    known = get_type_hints(schema)
     if not isinstance(entry, dict):
-        yield Problem(field, 'is not an object', f'Give {sorted(known)}.')
+        yield Problem(
+            field,
+            'is not an object',
+            f'Use an object with the fields {sorted(known)}.',
+        )
         return
     for name in sorted(set(entry) - set(known)):
         yield Problem(
@@ -86,39 +95,39 @@
             'unknown field',
             f'Use one of {sorted(known)}.',
         )
-    for name in sorted(shape.__required_keys__ - set(entry)):
-        yield Problem(f'{field}.{name}', 'is missing', 'Give it.')
+    for name in sorted(schema.__required_keys__ - set(entry)):
+        yield Problem(f'{field}.{name}', 'is missing', 'Add this field.')
     for name in sorted(set(entry) & set(known)):
-        yield from _type_problems(f'{field}.{name}', entry[name], shape, name)
+        yield from _type_problems(f'{field}.{name}', entry[name], schema, name)
 
 
 def _type_problems(
     field: str,
     given: Any,
-    shape: type,
+    schema: type,
     name: str,
 ) -> Iterator[Problem]:
-    single = TypedDict('single', {name: get_type_hints(shape)[name]})
+    single = TypedDict('single', {name: get_type_hints(schema)[name]})
     try:
         msgspec.convert({name: given}, single)
     except msgspec.ValidationError as exc:
         reason = str(exc).partition(' - at')[0]
-        yield Problem(field, reason, 'Give the expected type.')
+        yield Problem(field, reason, 'Use a value of the expected type.')
 
 
-def _meaning_problems(document: FleetDoc) -> Iterator[Problem]:
+def _semantic_problems(document: FleetDoc) -> Iterator[Problem]:
     for kind, check in CHECKS.items():
         for name, entry in document[kind].items():
-            if not name or len(name) > MAX_NAME or '/' in name:
+            if not name or len(name) > MAX_NAME_LENGTH or '/' in name:
                 yield Problem(
                     f'{kind}.{name}',
-                    'bad name',
-                    f'Use 1 to {MAX_NAME} characters without "/".',
+                    'invalid name',
+                    f'Use 1 to {MAX_NAME_LENGTH} characters without "/".',
                 )
             yield from check(f'{kind}.{name}', entry, document)
 
 
-@checks('upstreams')
+@register_check('upstreams')
 def _check_upstream(
     field: str,
     entry: UpstreamDoc,
@@ -138,10 +147,10 @@
     except ValueError:
         port = ''
     if not port.isdigit():
-        yield Problem(f'{field}.address', 'no IP:PORT', 'Give IP:PORT.')
+        yield Problem(f'{field}.address', 'no IP:PORT', 'Use the form IP:PORT.')
 
 
-@checks('deployments')
+@register_check('deployments')
 def _check_deployment(
     field: str,
     entry: DeploymentDoc,
@@ -156,7 +165,7 @@
             )
 
 
-@checks('endpoints')
+@register_check('endpoints')
 def _check_endpoint(
     field: str,
     entry: EndpointDoc,
@@ -168,15 +177,15 @@
             'no such deployment',
             'Add the deployment or name another.',
         )
-    if not 0 < entry['max_prompt'] <= MAX_PROMPT:
+    if not 0 < entry['max_prompt'] <= MAX_PROMPT_LENGTH:
         yield Problem(
             f'{field}.max_prompt',
             'out of range',
-            f'1 to {MAX_PROMPT} characters.',
+            f'1 to {MAX_PROMPT_LENGTH} characters.',
         )
 
 
-@checks('clients')
+@register_check('clients')
 def _check_client(
     field: str,
     entry: ClientDoc,
--- a/gentiantrestle/daemon/configuration/mirror.py
+++ b/gentiantrestle/daemon/configuration/mirror.py
@@ -1,4 +1,4 @@
-"""A copy of store objects that never goes back; decisions only."""
+"""A local copy of store objects that never goes back to older versions."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 
 class MirroredObject(NamedTuple):
-    """One copied object; no document means that it was deleted."""
+    """A copy of a store object; without a document it is a tombstone."""
 
     name: str
     version: int
@@ -15,14 +15,14 @@
 
 
 class Listener(NamedTuple):
-    """Who is called for changes below a prefix."""
+    """A callback for changes of objects whose names have a prefix."""
 
     prefix: str
-    heed: Callable[[MirroredObject], None]
+    callback: Callable[[MirroredObject], None]
 
 
 class Mirror:
-    """Objects by name; only a higher version replaces one."""
+    """Objects by name; only a higher version replaces an object."""
 
     def __init__(self) -> None:
         """Start empty, at revision 0."""
@@ -31,50 +31,53 @@
         self._listeners: list[Listener] = []
 
     def add_listener(
-        self, prefix: str, heed: Callable[[MirroredObject], None]
+        self, prefix: str, callback: Callable[[MirroredObject], None]
     ) -> None:
-        """Call ``heed`` for each change below a prefix."""
-        self._listeners.append(Listener(prefix, heed))
+        """Call ``callback`` for each change of an object with a prefix."""
+        self._listeners.append(Listener(prefix, callback))
 
     def apply(self, changes: Iterable[MirroredObject], revision: int) -> None:
-        """Take in changes that bring the copy up to ``revision``."""
-        for copied in changes:
-            self.update(copied)
+        """Store the changes that bring this mirror up to ``revision``."""
+        for mirrored in changes:
+            self.update(mirrored)
         self.revision = max(self.revision, revision)
 
-    def update(self, copied: MirroredObject) -> bool:
-        """Take in one object, unless as new a one is known."""
-        known = self._copies.get(copied.name)
-        if known is not None and known.version >= copied.version:
+    def update(self, mirrored: MirroredObject) -> bool:
+        """Store an object and call the listeners.
+
+        Returns False and changes nothing if the known version is not older.
+        """
+        known = self._copies.get(mirrored.name)
+        if known is not None and known.version >= mirrored.version:
             return False
-        self._copies[copied.name] = copied
+        self._copies[mirrored.name] = mirrored
         for listener in self._listeners:
-            if copied.name.startswith(listener.prefix):
-                listener.heed(copied)
+            if mirrored.name.startswith(listener.prefix):
+                listener.callback(mirrored)
         return True
 
     def get(self, name: str) -> MirroredObject | None:
-        """Look one object up; a deleted one is not found."""
-        copied = self._copies.get(name)
-        if copied is None or copied.document is None:
+        """Return an object by name, or ``None`` if it is unknown or deleted."""
+        mirrored = self._copies.get(name)
+        if mirrored is None or mirrored.document is None:
             return None
-        return copied
+        return mirrored
 
     def with_prefix(self, prefix: str) -> Iterator[MirroredObject]:
-        """Yield the objects below a prefix."""
-        for name, copied in tuple(self._copies.items()):
-            if name.startswith(prefix) and copied.document is not None:
-                yield copied
-
-    def since(self, after: int) -> Iterator[MirroredObject]:
-        """Yield what has changed after a revision, deletions too."""
-        for copied in self._copies.values():
-            if copied.version > after:
-                yield copied
-
-    def forget(self, prefix: str, before: int) -> None:
-        """Drop marks of deletions below a prefix that are old enough."""
-        for name, copied in tuple(self._copies.items()):
-            gone = copied.document is None and copied.version < before
-            if gone and name.startswith(prefix):
+        """Yield the objects whose names start with a prefix."""
+        for name, mirrored in tuple(self._copies.items()):
+            if name.startswith(prefix) and mirrored.document is not None:
+                yield mirrored
+
+    def changed_after(self, revision: int) -> Iterator[MirroredObject]:
+        """Yield the objects changed after a revision, including tombstones."""
+        for mirrored in self._copies.values():
+            if mirrored.version > revision:
+                yield mirrored
+
+    def drop_tombstones(self, prefix: str, before: int) -> None:
+        """Drop tombstones with a prefix and a version lower than ``before``."""
+        for name, mirrored in tuple(self._copies.items()):
+            expired = mirrored.document is None and mirrored.version < before
+            if expired and name.startswith(prefix):
                 self._copies.pop(name)
--- a/gentiantrestle/daemon/configuration/service.py
+++ b/gentiantrestle/daemon/configuration/service.py
@@ -1,4 +1,4 @@
-"""Follow the store in one instance of a zone, and pass changes on."""
+"""Mirror the store: one instance of a zone watches it for the others."""
 
 import asyncio
 import random
@@ -28,15 +28,15 @@
     Envelope,
 )
 
-FLEET = 'conf/fleet'
+FLEET_OBJECT = 'conf/fleet'
 PREFIXES = ('conf/', 'live/', 'jobs/')
-CATCH_UP_PERIOD = 0.2  # seconds
-COMPARE_PERIOD = 10.0  # seconds
+PEER_POLL_PERIOD = 0.2  # seconds
+RESYNC_PERIOD = 10.0  # seconds
 RETRY_PERIOD = 0.5  # seconds
 
 
 class Configuration:
-    """The child that keeps the copy of the store up to date."""
+    """The child that keeps the mirror of the store up to date."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         store: StoreClient,
         membership: Membership,
     ) -> None:
-        """Answer peers that ask for changes."""
+        """Listen for the fleet's configuration and answer peers."""
         self._ctx = ctx
         self._store = store
         self._membership = membership
@@ -53,18 +53,18 @@
         self.fleet: FleetDoc = EMPTY_FLEET
         self.loaded = asyncio.Event()
         self.applied_at = ctx.wall()
-        self.mirror.add_listener(FLEET, self._take_fleet)
+        self.mirror.add_listener(FLEET_OBJECT, self._apply_fleet)
         membership.register_handler('changes_request', self._answer_changes)
 
     async def run(self) -> None:
-        """Load, then follow the store or a peer until cancelled."""
+        """Load the objects, then follow the store or peers until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follow_store())
             group.create_task(self._follow_peers())
-            group.create_task(self._compare())
+            group.create_task(self._resync())
 
     def update_mirror(self, name: str, version: int, document: dict) -> None:
-        """Take in an object that this instance has read or written."""
+        """Mirror an object that this instance has read or written itself."""
         self.mirror.update(MirroredObject(name, version, document))
 
     def is_relay(self) -> bool:
@@ -75,12 +75,15 @@
         return owner('relay', names) == self._ctx.cfg.instance
 
     async def refresh(self) -> None:
-        """Read what has changed in the store."""
+        """Read changes from the store; all objects if none are loaded yet.
+
+        Raises ``StoreUnavailableError``.
+        """
         if self.loaded.is_set():
             after = self.mirror.revision
-            self._take_listing(await self._store.read_changes(after, *PREFIXES))
+            self._apply_listing(await self._store.read_changes(after, *PREFIXES))
         else:
-            self._take_listing(await self._store.list_documents(*PREFIXES))
+            self._apply_listing(await self._store.list_documents(*PREFIXES))
 
     async def _follow_store(self) -> None:
         was_relay = False
@@ -102,22 +105,22 @@
             await asyncio.sleep(RETRY_PERIOD)
             return
         after = self.mirror.revision
-        self._take_listing(await self._store.watch(after, *PREFIXES))
+        self._apply_listing(await self._store.watch(after, *PREFIXES))
 
     async def _follow_peers(self) -> None:
         while True:
-            await asyncio.sleep(CATCH_UP_PERIOD)
-            ahead = self._most_advanced()
-            if ahead is None:
+            await asyncio.sleep(PEER_POLL_PERIOD)
+            peer = self._find_newest_peer()
+            if peer is None:
                 continue
             try:
-                await self._catch_up(ahead)
+                await self._catch_up(peer)
             except PeerError:
                 await asyncio.sleep(RETRY_PERIOD)
 
-    def _most_advanced(self) -> Member | None:
+    def _find_newest_peer(self) -> Member | None:
         members = self._membership.view.live_members(self._ctx.now())
-        best = max(
+        newest = max(
             members,
             key=lambda member: (
                 member.store_revision,
@@ -125,15 +128,15 @@
             ),
             default=None,
         )
-        if best is None or best.store_revision <= self.mirror.revision:
+        if newest is None or newest.store_revision <= self.mirror.revision:
             return None
-        return best
+        return newest
 
     async def _catch_up(self, member: Member) -> None:
-        asked = ChangesRequest(after=self.mirror.revision)
+        request = ChangesRequest(after=self.mirror.revision)
         answer = await self._membership.call(
             member,
-            Envelope(changes_request=asked),
+            Envelope(changes_request=request),
         )
         if answer.changes is None:
             raise PeerError(f'{member.instance} sent no changes')
@@ -141,26 +144,26 @@
             map(_from_wire, answer.changes.changes), answer.changes.revision
         )
 
-    async def _compare(self) -> None:
-        """Read the store now and then, in case the relay has missed news."""
+    async def _resync(self) -> None:
+        """Read changes periodically, in case the relay has missed some."""
         while True:
             jitter = self._random.random()
-            await asyncio.sleep(COMPARE_PERIOD * (0.5 + jitter))
+            await asyncio.sleep(RESYNC_PERIOD * (0.5 + jitter))
             if self.is_relay():
                 continue
             with suppress(StoreUnavailableError):
                 await self.refresh()
 
     async def _answer_changes(self, envelope: Envelope) -> Envelope:
-        changed = self.mirror.since(envelope.changes_request.after)
+        changed = self.mirror.changed_after(envelope.changes_request.after)
         changes = Changes(
             revision=self.mirror.revision,
             complete=True,
-            changes=[_to_wire(copied) for copied in changed],
+            changes=[_to_wire(mirrored) for mirrored in changed],
         )
         return Envelope(changes=changes)
 
-    def _take_listing(self, listing: ObjectList) -> None:
+    def _apply_listing(self, listing: ObjectList) -> None:
         changes = map(_from_listed, listing['objects'])
         self._apply(changes, listing['revision'])
 
@@ -169,8 +172,8 @@
         self.loaded.set()
         self._membership.view.update_local(store_revision=self.mirror.revision)
 
-    def _take_fleet(self, copied: MirroredObject) -> None:
-        fleet = copied.document
+    def _apply_fleet(self, mirrored: MirroredObject) -> None:
+        fleet = mirrored.document
         if fleet is None or fleet['revision'] <= self.fleet['revision']:
             return
         self.fleet = fleet
@@ -191,8 +194,8 @@
     return MirroredObject(change.name, change.version, document)
 
 
-def _to_wire(copied: MirroredObject) -> Change:
+def _to_wire(mirrored: MirroredObject) -> Change:
     payload = None
-    if copied.document is not None:
-        payload = msgspec.json.encode(copied.document)
-    return Change(name=copied.name, version=copied.version, payload=payload)
+    if mirrored.document is not None:
+        payload = msgspec.json.encode(mirrored.document)
+    return Change(name=mirrored.name, version=mirrored.version, payload=payload)
--- a/gentiantrestle/daemon/entry/__init__.py
+++ b/gentiantrestle/daemon/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP side: callers, operators and probes."""
+"""The HTTP interface for callers, operators and probes."""
--- a/gentiantrestle/daemon/entry/administration.py
+++ b/gentiantrestle/daemon/entry/administration.py
@@ -1,19 +1,19 @@
-"""Routes of operators."""
+"""Routes for operators: configuration, history and status."""
 
 from gentiantrestle.daemon.configuration.admin import Proposal
 from gentiantrestle.daemon.configuration.document import KINDS, validate
 from gentiantrestle.daemon.entry.routes import OPERATOR, route
-from gentiantrestle.daemon.entry.service import Entry, Visit
+from gentiantrestle.daemon.entry.service import Entry, RoutedRequest
 from gentiantrestle.daemon.membership.view import Member, State
 from gentiantrestle.errors import BAD_REQUEST, Refusal, RefusedError, refuse
 from gentiantrestle.http.messages import Response, json_response
 
-MAX_CONFIG = 1024 * 1024  # bytes
+MAX_CONFIG_SIZE = 1024 * 1024  # bytes
 REVISION = 'revision'
 
 
 @route('GET', '/admin/config', OPERATOR)
-async def show_config(entry: Entry, visit: Visit) -> Response:
+async def show_config(entry: Entry, routed: RoutedRequest) -> Response:
     """Show the configuration that is in force here."""
     fleet = entry.components.configuration.fleet
     shown = {kind: fleet[kind] for kind in KINDS}
@@ -21,12 +21,12 @@
 
 
 @route('PUT', '/admin/config', OPERATOR)
-async def apply_config(entry: Entry, visit: Visit) -> Response:
-    """Put a configuration in force; its revision is what it is based on."""
-    document = await visit.req.read_json(MAX_CONFIG)
+async def apply_config(entry: Entry, routed: RoutedRequest) -> Response:
+    """Put a configuration in force; its revision is its base."""
+    document = await routed.req.read_json(MAX_CONFIG_SIZE)
     based_on = document.get(REVISION)
     if not isinstance(based_on, int):
-        raise refuse(BAD_REQUEST, 'The field "revision" is no whole number')
+        raise refuse(BAD_REQUEST, 'The field "revision" is not an integer')
     applied = await entry.components.admin.apply(Proposal(document, based_on))
     if isinstance(applied, Refusal):
         raise RefusedError(applied)
@@ -34,24 +34,24 @@
 
 
 @route('POST', '/admin/check', OPERATOR)
-async def check_config(entry: Entry, visit: Visit) -> Response:
-    """Check a configuration and change nothing."""
-    document = await visit.req.read_json(MAX_CONFIG)
+async def check_config(entry: Entry, routed: RoutedRequest) -> Response:
+    """List a configuration's problems without applying it."""
+    document = await routed.req.read_json(MAX_CONFIG_SIZE)
     problems = [problem._asdict() for problem in validate(document)]
     return json_response({'problems': problems})
 
 
 @route('GET', '/admin/history/{revision}', OPERATOR)
-async def show_history(entry: Entry, visit: Visit) -> Response:
+async def show_history(entry: Entry, routed: RoutedRequest) -> Response:
     """Show an earlier configuration."""
-    text = visit.fields[REVISION]
+    text = routed.fields[REVISION]
     if not text.isdigit():
-        raise refuse(BAD_REQUEST, f'{text!r} is no revision')
-    return json_response(await entry.components.admin.recall(int(text)))
+        raise refuse(BAD_REQUEST, f'{text!r} is not a revision number')
+    return json_response(await entry.components.admin.read_revision(int(text)))
 
 
 @route('GET', '/admin/status', OPERATOR)
-async def show_status(entry: Entry, visit: Visit) -> Response:
+async def show_status(entry: Entry, routed: RoutedRequest) -> Response:
     """Show what this instance knows of itself and of the fleet."""
     components = entry.components
     now = components.ctx.now()
@@ -68,7 +68,7 @@
             'relay': components.configuration.is_relay(),
             'waiting': components.online.admission.waiting,
             'members': [
-                _describe(member, member.instance in alive)
+                _describe_member(member, member.instance in alive)
                 for member in components.membership.view.members()
             ],
             'upstreams': components.fleet.describe(now),
@@ -76,7 +76,7 @@
     )
 
 
-def _describe(member: Member, alive: bool) -> dict[str, object]:
+def _describe_member(member: Member, alive: bool) -> dict[str, object]:
     return {
         'instance': member.instance,
         'zone': member.zone,
--- a/gentiantrestle/daemon/entry/authentication.py
+++ b/gentiantrestle/daemon/entry/authentication.py
@@ -1,4 +1,4 @@
-"""Who calls: keys are compared as hashes and in constant time."""
+"""Authenticate callers by key; hashes are compared in constant time."""
 
 import hashlib
 import hmac
@@ -12,14 +12,14 @@
 
 
 class Identity(NamedTuple):
-    """A client account, and whether it administers."""
+    """A client account, and whether it is an administrator."""
 
     client: str
     admin: bool
 
 
 def hash_key(key: str) -> str:
-    """Hash a key as the configuration stores it."""
+    """Return the SHA-256 of a key in hex, as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -28,7 +28,10 @@
     fleet: FleetDoc,
     admin_key_hash: str,
 ) -> Identity | Refusal:
-    """Find whose key it is; look at all keys, so that time tells nothing."""
+    """Return the identity of the request's key, or a refusal.
+
+    Compares every key, so that the timing does not reveal a match.
+    """
     if not authorization.startswith(SCHEME):
         return Refusal(UNAUTHORIZED, 'The request has no key')
     given = hash_key(authorization.removeprefix(SCHEME).strip())
@@ -43,7 +46,7 @@
 
 
 def require_admin(identity: Identity) -> Refusal | None:
-    """Refuse those who don't administer."""
+    """Return a refusal unless the account is an administrator."""
     if identity.admin:
         return None
-    return Refusal(FORBIDDEN, 'This account does not administer')
+    return Refusal(FORBIDDEN, 'This account is not an administrator')
--- a/gentiantrestle/daemon/entry/callers.py
+++ b/gentiantrestle/daemon/entry/callers.py
@@ -1,27 +1,30 @@
-"""Routes of those who wait for an answer."""
+"""Routes for online requests, probes and metrics."""
 
 from http import HTTPStatus
 
-from gentiantrestle.daemon.entry.bodies import completion_work, service_work
+from gentiantrestle.daemon.entry.request_parsing import (
+    parse_completion,
+    parse_service_call,
+)
 from gentiantrestle.daemon.entry.routes import ANYONE, CLIENT, route
-from gentiantrestle.daemon.entry.service import Entry, Visit
+from gentiantrestle.daemon.entry.service import Entry, RoutedRequest
 from gentiantrestle.daemon.online.attempt import OnlineRequest
 from gentiantrestle.errors import NO_UPSTREAM, refuse
 from gentiantrestle.http.messages import Response, json_response
 
-KEY_HEADER = 'idempotency-key'
+IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 RETRY_AFTER = 1  # seconds
 
 
 @route('GET', '/healthz', ANYONE)
-async def answer_health(entry: Entry, visit: Visit) -> Response:
-    """Say that the process runs."""
+async def answer_health(entry: Entry, routed: RoutedRequest) -> Response:
+    """Report that the process is alive."""
     return json_response({'alive': True})
 
 
 @route('GET', '/readyz', ANYONE)
-async def answer_ready(entry: Entry, visit: Visit) -> Response:
-    """Say whether callers should come here."""
+async def answer_ready(entry: Entry, routed: RoutedRequest) -> Response:
+    """Report whether this instance takes requests; 503 if it does not."""
     return json_response(
         {'ready': entry.ready},
         HTTPStatus.OK if entry.ready else HTTPStatus.SERVICE_UNAVAILABLE,
@@ -29,15 +32,15 @@
 
 
 @route('GET', '/metrics', ANYONE)
-async def answer_metrics(entry: Entry, visit: Visit) -> Response:
-    """Show the metrics."""
-    accepts = tuple(visit.req.headers.get('accept', '*/*').split(','))
+async def answer_metrics(entry: Entry, routed: RoutedRequest) -> Response:
+    """Return the metrics in a format that the caller accepts."""
+    accepts = tuple(routed.req.headers.get('accept', '*/*').split(','))
     body, content_type = entry.components.ctx.metrics.render(accepts)
     return Response(HTTPStatus.OK, body, content_type)
 
 
 @route('GET', '/v1/models', CLIENT)
-async def answer_models(entry: Entry, visit: Visit) -> Response:
+async def answer_models(entry: Entry, routed: RoutedRequest) -> Response:
     """List the endpoints."""
     endpoints = entry.components.configuration.fleet['endpoints']
     models = [{'id': name, 'object': 'model'} for name in sorted(endpoints)]
@@ -46,38 +49,40 @@
 
 @route('POST', '/v1/completions', CLIENT)
 @route('POST', '/v1/chat/completions', CLIENT)
-async def answer_completion(entry: Entry, visit: Visit) -> Response:
-    """Answer a prompt, as a stream or whole."""
+async def answer_completion(entry: Entry, routed: RoutedRequest) -> Response:
+    """Answer a completion or chat request, streamed or whole."""
     _require_ready(entry)
-    raw = await visit.req.read(entry.components.ctx.cfg.max_body)
-    work = completion_work(
-        visit.identity.client,
-        visit.req,
+    raw = await routed.req.read(entry.components.ctx.cfg.max_body)
+    online_request = parse_completion(
+        routed.identity.client,
+        routed.req,
         raw,
         entry.components.configuration.fleet,
     )
-    return await _answer(entry, visit, work)
+    return await _answer(entry, routed, online_request)
 
 
 @route('POST', '/v1/services/{endpoint}/{rest}', CLIENT)
 @route('GET', '/v1/services/{endpoint}/{rest}', CLIENT)
-async def answer_service(entry: Entry, visit: Visit) -> Response:
-    """Pass a call on to a plain service."""
+async def answer_service(entry: Entry, routed: RoutedRequest) -> Response:
+    """Forward a call to a service upstream."""
     _require_ready(entry)
-    raw = await visit.req.read(entry.components.ctx.cfg.max_body)
-    work = service_work(
-        visit.identity.client,
-        visit.req,
+    raw = await routed.req.read(entry.components.ctx.cfg.max_body)
+    online_request = parse_service_call(
+        routed.identity.client,
+        routed.req,
         raw,
         entry.components.configuration.fleet,
-        visit.fields,
+        routed.fields,
     )
-    return await _answer(entry, visit, work)
+    return await _answer(entry, routed, online_request)
 
 
-async def _answer(entry: Entry, visit: Visit, work: OnlineRequest) -> Response:
-    key = visit.req.headers.get(KEY_HEADER)
-    return await entry.components.online.answer(work, key)
+async def _answer(
+    entry: Entry, routed: RoutedRequest, online_request: OnlineRequest
+) -> Response:
+    key = routed.req.headers.get(IDEMPOTENCY_KEY_HEADER)
+    return await entry.components.online.answer(online_request, key)
 
 
 def _require_ready(entry: Entry) -> None:
--- a/gentiantrestle/daemon/entry/jobs.py
+++ b/gentiantrestle/daemon/entry/jobs.py
@@ -1,13 +1,13 @@
-"""Routes of batch jobs."""
+"""Routes for batch jobs."""
 
 from http import HTTPStatus
 from uuid import uuid4
 
 from gentiantrestle.daemon.batch.acceptance import Submission
 from gentiantrestle.daemon.batch.client_jobs import job_status
-from gentiantrestle.daemon.entry.callers import KEY_HEADER
+from gentiantrestle.daemon.entry.callers import IDEMPOTENCY_KEY_HEADER
 from gentiantrestle.daemon.entry.routes import CLIENT, route
-from gentiantrestle.daemon.entry.service import Entry, Visit
+from gentiantrestle.daemon.entry.service import Entry, RoutedRequest
 from gentiantrestle.errors import BAD_REQUEST, refuse
 from gentiantrestle.http.messages import JSON_LINES, Response, json_response
 
@@ -17,16 +17,16 @@
 
 
 @route('POST', '/v1/batches', CLIENT)
-async def submit_job(entry: Entry, visit: Visit) -> Response:
-    """Accept a job of JSON lines."""
-    client = visit.identity.client
+async def submit_job(entry: Entry, routed: RoutedRequest) -> Response:
+    """Accept a batch job; the body holds one item per line, as JSON."""
+    client = routed.identity.client
     settings = entry.components.configuration.fleet['clients'].get(client, {})
     submission = Submission(
         client,
-        visit.req.headers.get(KEY_HEADER) or uuid4().hex,
-        _window(visit),
-        visit.req.iter_body(entry.cfg.max_batch_body),
-        visit.req.body_size,
+        routed.req.headers.get(IDEMPOTENCY_KEY_HEADER) or uuid4().hex,
+        _read_window(routed),
+        routed.req.iter_body(entry.cfg.max_batch_body),
+        routed.req.body_size,
         settings.get('max_jobs', DEFAULT_MAX_JOBS),
     )
     job = await entry.batch.acceptor.accept(submission)
@@ -36,10 +36,10 @@
 
 
 @route('GET', '/v1/batches', CLIENT)
-async def list_jobs(entry: Entry, visit: Visit) -> Response:
+async def list_jobs(entry: Entry, routed: RoutedRequest) -> Response:
     """List the client's jobs, the newest first."""
     jobs = sorted(
-        entry.batch.client_jobs.jobs_of(visit.identity.client),
+        entry.batch.client_jobs.jobs_of(routed.identity.client),
         key=lambda job: job['created'],
         reverse=True,
     )
@@ -48,37 +48,37 @@
 
 
 @route('GET', '/v1/batches/{job}', CLIENT)
-async def show_job(entry: Entry, visit: Visit) -> Response:
-    """Show how far a job is."""
+async def show_job(entry: Entry, routed: RoutedRequest) -> Response:
+    """Show a job's status and progress."""
     status = await entry.batch.client_jobs.status(
-        visit.identity.client,
-        visit.fields['job'],
+        routed.identity.client,
+        routed.fields['job'],
     )
     return json_response(status)
 
 
 @route('GET', '/v1/batches/{job}/results', CLIENT)
-async def read_results(entry: Entry, visit: Visit) -> Response:
-    """Stream the results that there are."""
+async def read_results(entry: Entry, routed: RoutedRequest) -> Response:
+    """Stream the results available so far, as JSON lines."""
     lines = await entry.batch.client_jobs.results(
-        visit.identity.client,
-        visit.fields['job'],
+        routed.identity.client,
+        routed.fields['job'],
     )
     return Response(HTTPStatus.OK, lines, JSON_LINES)
 
 
 @route('POST', '/v1/batches/{job}/cancel', CLIENT)
-async def cancel_job(entry: Entry, visit: Visit) -> Response:
+async def cancel_job(entry: Entry, routed: RoutedRequest) -> Response:
     """Cancel a job."""
     status = await entry.batch.client_jobs.cancel(
-        visit.identity.client,
-        visit.fields['job'],
+        routed.identity.client,
+        routed.fields['job'],
     )
     return json_response(status)
 
 
-def _window(visit: Visit) -> float:
-    given = visit.req.query_values('completion_window')
+def _read_window(routed: RoutedRequest) -> float:
+    given = routed.req.query_values('completion_window')
     try:
         window = float(given[0]) if given else DEFAULT_WINDOW
     except ValueError:
@@ -86,6 +86,7 @@
     if not 0 < window <= MAX_WINDOW:
         raise refuse(
             BAD_REQUEST,
-            f'completion_window is not from 1 to {MAX_WINDOW:.0f} seconds',
+            'completion_window must be above 0 and at most '
+            f'{MAX_WINDOW:.0f} seconds',
         )
     return window
--- a/gentiantrestle/daemon/entry/reports.py
+++ b/gentiantrestle/daemon/entry/reports.py
@@ -1,20 +1,24 @@
-"""Routes of the report on service-level burn."""
+"""Routes for the report on burn rates of service-level objectives."""
 
 from html import escape
 
 from gentiantrestle.daemon.entry.routes import OPERATOR, route
-from gentiantrestle.daemon.entry.service import Entry, Visit
+from gentiantrestle.daemon.entry.service import Entry, RoutedRequest
 from gentiantrestle.daemon.report.burn import OBJECTIVES, Risk, Row
-from gentiantrestle.daemon.report.service import FLEET, SCOPES, Gathered
+from gentiantrestle.daemon.report.service import (
+    FLEET_SCOPE,
+    SCOPES,
+    GatheredReport,
+)
 from gentiantrestle.errors import BAD_REQUEST, refuse
 from gentiantrestle.http.messages import Response, json_response
 
-HTML = 'text/html; charset=utf-8'
+HTML_TYPE = 'text/html; charset=utf-8'
 BAR_WIDTH = 200  # pixels
-FULL_BURN = 10
+MAX_BAR_BURN = 10
 OK_COLOUR = '#2a7'
 BAD_COLOUR = '#c33'
-PLOT = (
+BURN_BAR = (
     '<svg width="{full}" height="12">'
     '<rect width="{width}" height="12" fill="{colour}"/></svg>'
 )
@@ -26,7 +30,7 @@
 svg {{ vertical-align: middle; }}
 </style></head><body>
 <h1>Service-level burn, {scope}</h1>
-<p>A burn of 1 uses the budget up just in time.
+<p>A burn of 1 uses the error budget up exactly.
 Missing instances: {missing}.</p>
 <table><tr><th>endpoint</th><th>objective</th><th>window</th>
 <th>good</th><th>bad</th><th>burn</th><th></th></tr>{rows}</table>
@@ -38,9 +42,9 @@
 
 
 @route('GET', '/admin/report', OPERATOR)
-async def answer_report(entry: Entry, visit: Visit) -> Response:
+async def answer_report(entry: Entry, routed: RoutedRequest) -> Response:
     """Report burn rates and jobs at risk as JSON."""
-    scope = _scope(visit)
+    scope = _read_scope(routed)
     gathered = await entry.components.reporter.gather(scope)
     risks = await entry.components.reporter.risks()
     return json_response(
@@ -60,55 +64,59 @@
 
 
 @route('GET', '/admin/report.html', OPERATOR)
-async def answer_report_page(entry: Entry, visit: Visit) -> Response:
-    """Report burn rates and jobs at risk as a page with plots."""
-    scope = _scope(visit)
+async def answer_report_page(entry: Entry, routed: RoutedRequest) -> Response:
+    """Report burn rates and jobs at risk as an HTML page with bars."""
+    scope = _read_scope(routed)
     gathered = await entry.components.reporter.gather(scope)
     risks = await entry.components.reporter.risks()
-    return Response(body=_page(scope, gathered, risks), content_type=HTML)
+    return Response(
+        body=_render_page(scope, gathered, risks), content_type=HTML_TYPE
+    )
 
 
-def _scope(visit: Visit) -> str:
-    scope = [*visit.req.query_values('scope'), FLEET][0]
+def _read_scope(routed: RoutedRequest) -> str:
+    scope = [*routed.req.query_values('scope'), FLEET_SCOPE][0]
     if scope not in SCOPES:
         known = ', '.join(SCOPES)
         raise refuse(BAD_REQUEST, f'scope is not one of {known}')
     return scope
 
 
-def _page(scope: str, gathered: Gathered, risks: list[Risk]) -> bytes:
+def _render_page(
+    scope: str, gathered: GatheredReport, risks: list[Risk]
+) -> bytes:
     return PAGE.format(
         scope=escape(scope),
         missing=escape(', '.join(gathered.missing) or 'none'),
-        rows=''.join(map(_row, gathered.rows)),
-        risks=''.join(map(_risk, risks)),
+        rows=''.join(map(_render_row, gathered.rows)),
+        risks=''.join(map(_render_risk, risks)),
     ).encode()
 
 
-def _row(row: Row) -> str:
-    share = min(1, row.burn / FULL_BURN)
+def _render_row(row: Row) -> str:
+    share = min(1, row.burn / MAX_BAR_BURN)
     colour = OK_COLOUR if row.burn <= 1 else BAD_COLOUR
     width = round(share * BAR_WIDTH)
-    plot = PLOT.format(full=BAR_WIDTH, width=width, colour=colour)
-    return _cells(
+    burn_bar = BURN_BAR.format(full=BAR_WIDTH, width=width, colour=colour)
+    return _render_cells(
         row.endpoint,
         row.objective,
         f'{row.window} s',
         row.good,
         row.bad,
         round(row.burn, 2),
-        raw=plot,
+        html=burn_bar,
     )
 
 
-def _risk(risk: Risk) -> str:
+def _render_risk(risk: Risk) -> str:
     at_risk = 'yes' if risk.at_risk else 'no'
     predicted = 'unknown' if risk.predicted is None else round(risk.predicted)
     deadline = round(risk.deadline)
-    return _cells(risk.job, risk.client, deadline, predicted, at_risk)
+    return _render_cells(risk.job, risk.client, deadline, predicted, at_risk)
 
 
-def _cells(*shown: object, raw: str = '') -> str:
+def _render_cells(*shown: object, html: str = '') -> str:
     texts = [escape(str(cell)) for cell in shown]
-    cells = ''.join(f'<td>{text}</td>' for text in (*texts, raw))
+    cells = ''.join(f'<td>{text}</td>' for text in (*texts, html))
     return f'<tr>{cells}</tr>'
--- a/gentiantrestle/daemon/entry/request_parsing.py
+++ b/gentiantrestle/daemon/entry/request_parsing.py
@@ -1,4 +1,4 @@
-"""Check callers' bodies and turn them into work for an upstream."""
+"""Validate request bodies and build online requests from them."""
 
 from typing import Any
 
@@ -25,18 +25,18 @@
 SAFE_METHODS = frozenset(('GET', 'HEAD'))
 
 
-def completion_work(
+def parse_completion(
     client: str,
     req: Request,
     raw: bytes,
     fleet: FleetDoc,
 ) -> OnlineRequest:
-    """Check a completion or chat request."""
+    """Validate a completion or chat request; raise ``RefusedError``."""
     body = decode_json_object(raw)
     endpoint = find_endpoint(fleet, body.get('model'))
     deployment = find_deployment(fleet, endpoint)
     prompt = _check_prompt(req.path, body, endpoint['max_prompt'])
-    _check_numbers(body)
+    _check_max_tokens(body)
     streamed = bool(body.get('stream', False))
     name = body['model']
     body['model'] = deployment['model']
@@ -53,14 +53,14 @@
     )
 
 
-def service_work(
+def parse_service_call(
     client: str,
     req: Request,
     raw: bytes,
     fleet: FleetDoc,
     fields: dict[str, str],
 ) -> OnlineRequest:
-    """Check a call of a plain service."""
+    """Build the request for a service upstream; raise ``RefusedError``."""
     endpoint = find_endpoint(fleet, fields['endpoint'])
     safe = req.method in SAFE_METHODS
     return OnlineRequest(
@@ -76,9 +76,11 @@
 
 
 def find_endpoint(fleet: FleetDoc, name: Any) -> EndpointDoc:
-    """Look an endpoint up, or refuse."""
+    """Return an endpoint by name; raise ``RefusedError`` if unknown."""
     if not isinstance(name, str) or not name:
-        raise refuse(BAD_REQUEST, 'The field "model" is missing or no text')
+        raise refuse(
+            BAD_REQUEST, 'The field "model" is missing or not a string'
+        )
     endpoint = fleet['endpoints'].get(name)
     if endpoint is None:
         raise refuse(UNKNOWN_MODEL, f'There is no endpoint {name!r}')
@@ -86,7 +88,10 @@
 
 
 def find_deployment(fleet: FleetDoc, endpoint: EndpointDoc) -> DeploymentDoc:
-    """Look an endpoint's deployment up; one without upstreams refuses."""
+    """Return an endpoint's deployment.
+
+    Raises ``RefusedError`` if the deployment has no upstreams.
+    """
     deployment = fleet['deployments'][endpoint['deployment']]
     if not deployment['upstreams']:
         raise refuse(NO_UPSTREAM, 'The deployment has no upstream', RETRY_AFTER)
@@ -97,7 +102,9 @@
     if path == CHAT:
         _check_messages(body.get('messages'))
     elif not isinstance(body.get('prompt'), str):
-        raise refuse(BAD_REQUEST, 'The field "prompt" is missing or no text')
+        raise refuse(
+            BAD_REQUEST, 'The field "prompt" is missing or not a string'
+        )
     prompt = prompt_text(body)
     if not prompt:
         raise refuse(BAD_REQUEST, 'The prompt is empty')
@@ -110,7 +117,7 @@
 
 
 def _check_messages(messages: Any) -> None:
-    good = (
+    valid = (
         isinstance(messages, list)
         and messages
         and all(
@@ -119,18 +126,18 @@
             for message in messages
         )
     )
-    if not good:
+    if not valid:
         raise refuse(
             BAD_REQUEST,
-            'The field "messages" is no list of objects with "content"',
+            'The field "messages" is not a list of objects with "content"',
         )
 
 
-def _check_numbers(body: dict[str, Any]) -> None:
-    wanted = body.get('max_tokens', 1)
-    if isinstance(wanted, bool) or not isinstance(wanted, int):
-        raise refuse(BAD_REQUEST, 'The field "max_tokens" is no whole number')
-    if not 0 < wanted <= MAX_TOKENS:
+def _check_max_tokens(body: dict[str, Any]) -> None:
+    max_tokens = body.get('max_tokens', 1)
+    if isinstance(max_tokens, bool) or not isinstance(max_tokens, int):
+        raise refuse(BAD_REQUEST, 'The field "max_tokens" is not an integer')
+    if not 0 < max_tokens <= MAX_TOKENS:
         raise refuse(
             BAD_REQUEST,
             f'The field "max_tokens" is not from 1 to {MAX_TOKENS}',
--- a/gentiantrestle/daemon/entry/routes.py
+++ b/gentiantrestle/daemon/entry/routes.py
@@ -1,4 +1,4 @@
-"""Routes by method and path, in a registry that decorators fill."""
+"""Registry of routes by method and path, filled by a decorator."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -7,22 +7,25 @@
 from gentiantrestle.errors import NOT_FOUND, WRONG_METHOD, refuse
 from gentiantrestle.http.messages import Request, Response, refusal_response
 
-Answer: TypeAlias = Callable[..., Awaitable[Response]]
-FIELD = re.compile(r'{(\w+)}')
+Handler: TypeAlias = Callable[..., Awaitable[Response]]
+PATH_FIELD = re.compile(r'{(\w+)}')
 
 
 class Route(NamedTuple):
-    """One registered handler; ``role`` is who may call it."""
+    """A registered handler.
+
+    ``role`` is required of the caller; ``label`` names the route in metrics.
+    """
 
     method: str
     pattern: re.Pattern[str]
-    answer: Answer
+    handler: Handler
     role: str
     label: str
 
 
 class Match(NamedTuple):
-    """The route of a request, and the fields of its path."""
+    """The route of a request, and the values of its path fields."""
 
     route: Route
     fields: dict[str, str]
@@ -34,37 +37,42 @@
 OPERATOR = 'operator'
 
 
-def route(method: str, path: str, role: str) -> Callable[[Answer], Answer]:
-    """Register a handler; ``{field}`` stands for one part of the path."""
-    text = FIELD.sub(r'(?P<\1>[^/]+)', path.replace('{rest}', '(?P<rest>.*)'))
-    pattern = re.compile(text)
+def route(method: str, path: str, role: str) -> Callable[[Handler], Handler]:
+    """Return a decorator that registers a handler.
+
+    In ``path``, ``{field}`` matches one segment and ``{rest}`` the remainder.
+    """
+    regex = PATH_FIELD.sub(
+        r'(?P<\1>[^/]+)', path.replace('{rest}', '(?P<rest>.*)')
+    )
+    pattern = re.compile(regex)
 
-    def register(answer: Answer) -> Answer:
+    def register(handler: Handler) -> Handler:
         label = f'{method} {path}'
-        ROUTES.append(Route(method, pattern, answer, role, label))
-        return answer
+        ROUTES.append(Route(method, pattern, handler, role, label))
+        return handler
 
     return register
 
 
 def find(req: Request) -> Match | Response:
-    """Find the route of a request, or the refusal to answer with."""
+    """Return the route of a request, or the error response if none fits."""
     allowed = []
-    for one in ROUTES:
-        matched = one.pattern.fullmatch(req.path)
+    for candidate in ROUTES:
+        matched = candidate.pattern.fullmatch(req.path)
         if matched is None:
             continue
-        if one.method == req.method:
-            return Match(one, matched.groupdict())
-        allowed.append(one.method)
+        if candidate.method == req.method:
+            return Match(candidate, matched.groupdict())
+        allowed.append(candidate.method)
     if allowed:
         return _wrong_method(req, allowed)
-    missing = refuse(NOT_FOUND, f'Nothing is at {req.path}')
-    return refusal_response(missing.refusal)
+    exc = refuse(NOT_FOUND, f'There is nothing at {req.path}')
+    return refusal_response(exc.refusal)
 
 
 def _wrong_method(req: Request, allowed: list[str]) -> Response:
-    exc = refuse(WRONG_METHOD, f'{req.method} is not for {req.path}')
+    exc = refuse(WRONG_METHOD, f'{req.method} is not allowed for {req.path}')
     response = refusal_response(exc.refusal)
-    allow: Any = ('Allow', ', '.join(sorted(allowed)))
-    return response._replace(headers=(*response.headers, allow))
+    allow_header: Any = ('Allow', ', '.join(sorted(allowed)))
+    return response._replace(headers=(*response.headers, allow_header))
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -1,4 +1,4 @@
-"""The child that answers HTTP."""
+"""The child that answers HTTP requests."""
 
 import asyncio
 from contextlib import suppress
@@ -9,7 +9,11 @@
 from gentiantrestle.daemon.configuration.admin import Admin
 from gentiantrestle.daemon.configuration.service import Configuration
 from gentiantrestle.daemon.entry import routes
-from gentiantrestle.daemon.entry.keys import Identity, identify, require_admin
+from gentiantrestle.daemon.entry.authentication import (
+    Identity,
+    identify,
+    require_admin,
+)
 from gentiantrestle.daemon.membership.service import Membership
 from gentiantrestle.daemon.online.service import OnlineService
 from gentiantrestle.daemon.report.service import Reporter
@@ -25,12 +29,12 @@
 from gentiantrestle.http.server import Server
 from gentiantrestle.store.client import StoreClient
 
-NOBODY = Identity('', admin=False)
+ANONYMOUS = Identity('', admin=False)
 RETRY_AFTER = 1  # seconds
 
 
 class Components(NamedTuple):
-    """The other children, as the routes reach them."""
+    """The daemon's other components, for use by the routes."""
 
     ctx: Context
     store: StoreClient
@@ -43,8 +47,8 @@
     reporter: Reporter
 
 
-class Visit(NamedTuple):
-    """One request, who sends it, and the fields of its path."""
+class RoutedRequest(NamedTuple):
+    """A request with the identity of its caller and its path fields."""
 
     req: Request
     identity: Identity
@@ -55,7 +59,7 @@
     """Serves callers, operators and probes on one port."""
 
     def __init__(self, components: Components) -> None:
-        """Bound the server as the settings say."""
+        """Create the server with the limits of the settings."""
         cfg = components.ctx.cfg
         self.components = components
         self.cfg = cfg
@@ -78,7 +82,11 @@
         await asyncio.Event().wait()
 
     async def stop(self, grace: float) -> int:
-        """Finish what runs; return how many requests were cut."""
+        """Stop accepting requests; return how many were cut off.
+
+        Waits up to ``grace`` s for open requests, and again for at-most-once
+        requests that run on without their callers.
+        """
         self.stopping = True
         cut = await self._server.stop(grace)
         with suppress(TimeoutError):
@@ -88,7 +96,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers should come to this instance."""
+        """Tell whether this instance is configured and not stopping."""
         return (
             self.components.configuration.loaded.is_set() and not self.stopping
         )
@@ -110,12 +118,12 @@
         return response
 
     async def _dispatch(self, match: routes.Match, req: Request) -> Response:
-        identity = NOBODY
+        identity = ANONYMOUS
         if match.route.role != routes.ANYONE:
             self._refuse_when_stopping()
             identity = self._identify(match.route.role, req)
-        visit = Visit(req, identity, match.fields)
-        return await match.route.answer(self, visit)
+        routed = RoutedRequest(req, identity, match.fields)
+        return await match.route.handler(self, routed)
 
     def _refuse_when_stopping(self) -> None:
         if self.stopping:
--- a/gentiantrestle/daemon/report/__init__.py
+++ b/gentiantrestle/daemon/report/__init__.py
@@ -1,1 +1,1 @@
-"""How fast the service-level objectives' budgets burn."""
+"""Burn rates of the service-level objectives' error budgets."""
--- a/gentiantrestle/daemon/report/burn.py
+++ b/gentiantrestle/daemon/report/burn.py
@@ -1,10 +1,10 @@
-"""Good and bad events over several windows; decisions only, no I/O."""
+"""Error budget burn rates over several windows, without I/O."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-BUCKET = 30.0  # seconds
+BUCKET_LENGTH = 30.0  # seconds
 WINDOWS = (300, 3600, 21600)  # seconds
 AVAILABILITY = 'availability'
 FIRST_TOKEN = 'first_token'
@@ -13,7 +13,10 @@
 
 
 class Objective(NamedTuple):
-    """A share of events that has to be good, and the bound in s, if any."""
+    """The share of events that must be good.
+
+    For objectives on durations, one is good up to ``bound`` s.
+    """
 
     share: float
     bound: float | None = None
@@ -27,15 +30,15 @@
 }
 
 
-class Subject(NamedTuple):
-    """What is counted: an objective of an endpoint."""
+class ObjectiveKey(NamedTuple):
+    """An objective of an endpoint, the key that events are counted by."""
 
     endpoint: str
     objective: str
 
 
 class Row(NamedTuple):
-    """Events of one subject within one window, in s."""
+    """Good and bad events of one objective within ``window`` s."""
 
     endpoint: str
     objective: str
@@ -45,7 +48,7 @@
 
     @property
     def burn(self) -> float:
-        """Speed at which the budget burns; 1 uses it up just in time."""
+        """Burn rate of the error budget; at 1 it is used up exactly."""
         total = self.good + self.bad
         if not total:
             return 0
@@ -54,7 +57,7 @@
 
 
 class Bucket:
-    """Events that began within one span of time."""
+    """Events counted within one period of ``BUCKET_LENGTH``."""
 
     def __init__(self, index: int) -> None:
         """Start empty."""
@@ -64,59 +67,64 @@
 
 
 class BurnCounter:
-    """Counts events of all subjects; old ones are forgotten."""
+    """Counts events by objective; those older than all windows are dropped."""
 
     def __init__(self) -> None:
         """Start without events."""
-        self._buckets: dict[Subject, deque[Bucket]] = defaultdict(deque)
+        self._buckets: dict[ObjectiveKey, deque[Bucket]] = defaultdict(deque)
 
-    def record(self, subject: Subject, now: float, *, good: bool) -> None:
-        """Count one event."""
-        index = int(now // BUCKET)
-        buckets = self._buckets[subject]
+    def record(self, key: ObjectiveKey, now: float, *, good: bool) -> None:
+        """Count one event at time ``now`` in s."""
+        index = int(now // BUCKET_LENGTH)
+        buckets = self._buckets[key]
         if not buckets or buckets[-1].index < index:
             buckets.append(Bucket(index))
-        while buckets[0].index <= index - max(WINDOWS) / BUCKET:
+        while buckets[0].index <= index - max(WINDOWS) / BUCKET_LENGTH:
             buckets.popleft()
         buckets[-1].good += good
         buckets[-1].bad += not good
 
-    def measure(self, subject: Subject, seconds: float, now: float) -> None:
-        """Count a time as good or bad by its objective's bound."""
-        bound = OBJECTIVES[subject.objective].bound
-        self.record(subject, now, good=bound is None or seconds <= bound)
+    def record_duration(
+        self, key: ObjectiveKey, seconds: float, now: float
+    ) -> None:
+        """Count a duration as good if it is within its objective's bound."""
+        bound = OBJECTIVES[key.objective].bound
+        self.record(key, now, good=bound is None or seconds <= bound)
 
     def rows(self, now: float) -> Iterator[Row]:
-        """Yield the events of each subject within each window."""
-        newest = int(now // BUCKET)
-        for subject, buckets in sorted(self._buckets.items()):
+        """Yield the event counts of each objective within each window."""
+        newest = int(now // BUCKET_LENGTH)
+        for key, buckets in sorted(self._buckets.items()):
             for window in WINDOWS:
-                oldest = newest - window / BUCKET
-                recent = [one for one in buckets if one.index > oldest]
+                oldest = newest - window / BUCKET_LENGTH
+                recent = [bucket for bucket in buckets if bucket.index > oldest]
                 yield Row(
-                    subject.endpoint,
-                    subject.objective,
+                    key.endpoint,
+                    key.objective,
                     window,
-                    sum(one.good for one in recent),
-                    sum(one.bad for one in recent),
+                    sum(bucket.good for bucket in recent),
+                    sum(bucket.bad for bucket in recent),
                 )
 
 
-def add_up(rows: Iterable[Row]) -> list[Row]:
-    """Add the rows of several instances up, by subject and window."""
+def sum_rows(rows: Iterable[Row]) -> list[Row]:
+    """Sum the rows of several instances by objective and window."""
     totals: dict[tuple[str, str, int], Row] = {}
     for row in rows:
         key = (row.endpoint, row.objective, row.window)
-        known = totals.get(key, row._replace(good=0, bad=0))
+        total = totals.get(key, row._replace(good=0, bad=0))
         totals[key] = row._replace(
-            good=known.good + row.good,
-            bad=known.bad + row.bad,
+            good=total.good + row.good,
+            bad=total.bad + row.bad,
         )
     return [totals[key] for key in sorted(totals)]
 
 
 class Risk(NamedTuple):
-    """A running job, and when it will end if it goes on as it did, in s."""
+    """A running job and its predicted end; times in s since the epoch.
+
+    ``predicted`` is None while the job has made no progress.
+    """
 
     job: str
     client: str
@@ -125,13 +133,18 @@
     at_risk: bool
 
 
-def predict(
+def predict_end(
     created: float,
     deadline: float,
     share_done: float,
     wall: float,
 ) -> tuple[float | None, bool]:
-    """Predict a job's end from its progress; without any, only the clock."""
+    """Return a job's predicted end, and whether its deadline is at risk.
+
+    The job is expected to go on at its mean speed. Without progress there is
+    no prediction, and it is at risk after half of its time. Times are in s
+    since the epoch.
+    """
     if share_done <= 0:
         return None, wall > (created + deadline) / 2
     predicted = created + (wall - created) / share_done
--- a/gentiantrestle/daemon/report/measurement.py
+++ b/gentiantrestle/daemon/report/measurement.py
@@ -1,4 +1,4 @@
-"""Watch answers pass by and count them for the report."""
+"""Measure answers and streams for the service-level report."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
@@ -9,7 +9,7 @@
     FIRST_TOKEN,
     TOKEN_PACE,
     BurnCounter,
-    Subject,
+    ObjectiveKey,
 )
 from gentiantrestle.errors import OVERLOADED, RefusedError
 from gentiantrestle.http.messages import Response
@@ -19,8 +19,8 @@
 ERROR_EVENT = b'event: error'
 
 
-class Measure:
-    """Counts the answers of one endpoint."""
+class AnswerMeasurement:
+    """Measures one answer of an endpoint."""
 
     def __init__(
         self,
@@ -28,64 +28,70 @@
         counter: BurnCounter,
         endpoint: str,
     ) -> None:
-        """Begin now."""
+        """Start the clock."""
         self._ctx = ctx
         self._counter = counter
         self._endpoint = endpoint
         self._began = ctx.now()
 
     def record_refusal(self, exc: RefusedError) -> None:
-        """Count a refusal, unless the caller's own request is at fault."""
+        """Count a refusal, unless the caller's request is at fault."""
         kind = exc.refusal.kind
         if kind is OVERLOADED or kind.status >= SERVER_ERROR:
-            self._available(good=False)
+            self._record_availability(good=False)
 
     def record_response(self, response: Response) -> Response:
-        """Count an answer, a stream when it has ended."""
+        """Count an answer; a stream is counted when it has ended."""
         body = response.body
         if isinstance(body, bytes):
-            self._available(good=response.status < SERVER_ERROR)
+            self._record_availability(good=response.status < SERVER_ERROR)
             return response
         return response._replace(body=MeasuredStream(self, body))
 
-    async def watch(self, body: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-        """Pass a stream on and count it at its end."""
-        first = None
-        last = b''
-        count = 0
+    async def measure_stream(
+        self, body: AsyncIterator[bytes]
+    ) -> AsyncIterator[bytes]:
+        """Yield the parts of a stream, and count it when it has ended."""
+        first_at = None
+        last_part = b''
+        event_count = 0
         async for part in body:
-            if first is None:
-                first = self._ctx.now()
-                self._time(FIRST_TOKEN, first - self._began)
-            count += part.count(EVENT_END)
-            last = part
+            if first_at is None:
+                first_at = self._ctx.now()
+                self._record_duration(FIRST_TOKEN, first_at - self._began)
+            event_count += part.count(EVENT_END)
+            last_part = part
             yield part
-        self._available(good=not last.startswith(ERROR_EVENT))
-        if first is not None and count > 1:
-            self._time(TOKEN_PACE, (self._ctx.now() - first) / (count - 1))
+        self._record_availability(good=not last_part.startswith(ERROR_EVENT))
+        if first_at is not None and event_count > 1:
+            self._record_duration(
+                TOKEN_PACE, (self._ctx.now() - first_at) / (event_count - 1)
+            )
 
-    def _available(self, *, good: bool) -> None:
-        subject = Subject(self._endpoint, AVAILABILITY)
-        self._counter.record(subject, self._ctx.now(), good=good)
+    def _record_availability(self, *, good: bool) -> None:
+        key = ObjectiveKey(self._endpoint, AVAILABILITY)
+        self._counter.record(key, self._ctx.now(), good=good)
 
-    def _time(self, objective: str, seconds: float) -> None:
-        subject = Subject(self._endpoint, objective)
-        self._counter.measure(subject, seconds, self._ctx.now())
+    def _record_duration(self, objective: str, seconds: float) -> None:
+        key = ObjectiveKey(self._endpoint, objective)
+        self._counter.record_duration(key, seconds, self._ctx.now())
 
 
 class MeasuredStream:
-    """A stream that is counted; closing it closes what it passes on."""
+    """A measured stream; closing it closes the wrapped stream."""
 
-    def __init__(self, measure: Measure, body: AsyncIterator[bytes]) -> None:
-        """Wrap the stream of an answer."""
+    def __init__(
+        self, measurement: AnswerMeasurement, body: AsyncIterator[bytes]
+    ) -> None:
+        """Wrap the body of a streamed answer."""
         self._body = body
-        self._parts = measure.watch(body)
+        self._parts = measurement.measure_stream(body)
 
     def __aiter__(self) -> AsyncIterator[bytes]:
         """Iterate over the parts."""
         return self._parts
 
     async def aclose(self) -> None:
-        """Stop reading, and give back what the stream holds."""
+        """Stop reading, and close the stream so that it frees what it holds."""
         async with aclosing(self._body):
             await self._parts.aclose()
--- a/gentiantrestle/daemon/report/service.py
+++ b/gentiantrestle/daemon/report/service.py
@@ -1,4 +1,4 @@
-"""The child that gathers the report of the fleet, a zone or an instance."""
+"""The child that reports on burn for an instance, a zone or the fleet."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,13 +20,13 @@
 from gentiantrestle.daemon.report.burn import (
     BATCH_DEADLINE,
     BurnCounter,
+    ObjectiveKey,
     Risk,
     Row,
-    Subject,
-    add_up,
-    predict,
+    predict_end,
+    sum_rows,
 )
-from gentiantrestle.daemon.report.measured import Measure
+from gentiantrestle.daemon.report.measurement import AnswerMeasurement
 from gentiantrestle.errors import RefusedError
 from gentiantrestle.wire.peer.ttypes import (
     Envelope,
@@ -35,14 +35,14 @@
     ReportRow,
 )
 
-MAX_JOBS = 20
-FLEET = 'fleet'
-ZONE = 'zone'
-INSTANCE = 'instance'
-SCOPES = (FLEET, ZONE, INSTANCE)
+MAX_RISKS = 20
+FLEET_SCOPE = 'fleet'
+ZONE_SCOPE = 'zone'
+INSTANCE_SCOPE = 'instance'
+SCOPES = (FLEET_SCOPE, ZONE_SCOPE, INSTANCE_SCOPE)
 
 
-class Gathered(NamedTuple):
+class GatheredReport(NamedTuple):
     """A report, and the instances that did not answer."""
 
     rows: list[Row]
@@ -50,68 +50,68 @@
 
 
 class Reporter:
-    """Counts what happens here, and asks the others for theirs."""
+    """Counts the events of this instance, and gathers those of others."""
 
     def __init__(
         self,
         ctx: Context,
         membership: Membership,
         configuration: Configuration,
-        reader: ClientJobs,
+        client_jobs: ClientJobs,
     ) -> None:
-        """Answer peers that gather a report."""
+        """Listen for completed jobs, and answer peers that gather a report."""
         self._ctx = ctx
         self._membership = membership
         self._configuration = configuration
-        self._reader = reader
+        self._client_jobs = client_jobs
         self._counter = BurnCounter()
-        self._ended: asyncio.Queue[JobRecord] = asyncio.Queue()
-        membership.register_handler('report_request', self._answer_peer)
-        configuration.mirror.add_listener(JOB_PREFIX, self._heed_job)
+        self._completed_jobs: asyncio.Queue[JobRecord] = asyncio.Queue()
+        membership.register_handler('report_request', self._answer_request)
+        configuration.mirror.add_listener(JOB_PREFIX, self._on_job_change)
 
     async def run(self) -> None:
-        """Count the jobs that end, by their deadlines, until cancelled."""
+        """Count completed jobs by their deadlines until cancelled."""
         while True:
-            job = await self._ended.get()
-            subject = Subject(job['endpoint'], BATCH_DEADLINE)
+            job = await self._completed_jobs.get()
+            key = ObjectiveKey(job['endpoint'], BATCH_DEADLINE)
             in_time = job['finished'] <= job['deadline']
-            self._counter.record(subject, self._ctx.now(), good=in_time)
+            self._counter.record(key, self._ctx.now(), good=in_time)
 
-    def start_measurement(self, endpoint: str) -> Measure:
-        """Begin to measure one answer."""
-        return Measure(self._ctx, self._counter, endpoint)
+    def start_measurement(self, endpoint: str) -> AnswerMeasurement:
+        """Start to measure one answer of an endpoint."""
+        return AnswerMeasurement(self._ctx, self._counter, endpoint)
 
-    async def gather(self, scope: str) -> Gathered:
-        """Add up the rows of all live instances of a scope."""
+    async def gather(self, scope: str) -> GatheredReport:
+        """Sum the rows of all live instances of a scope, one of ``SCOPES``."""
         members = self._members(scope)
-        answers = await asyncio.gather(*map(self._ask, members))
+        answers = await asyncio.gather(*map(self._request_rows, members))
         rows = list(self._counter.rows(self._ctx.now()))
         missing = []
-        for member, told in zip(members, answers, strict=True):
-            if told is None:
+        for member, peer_rows in zip(members, answers, strict=True):
+            if peer_rows is None:
                 missing.append(member.instance)
             else:
-                rows.extend(told)
-        return Gathered(add_up(rows), missing)
+                rows.extend(peer_rows)
+        return GatheredReport(sum_rows(rows), missing)
 
     async def risks(self) -> list[Risk]:
-        """Predict the ends of the most urgent running jobs."""
+        """Predict the ends of the most urgent jobs, at most ``MAX_RISKS``."""
         jobs = [
-            copied.document
-            for copied in self._configuration.mirror.with_prefix(JOB_PREFIX)
+            mirrored.document
+            for mirrored in self._configuration.mirror.with_prefix(JOB_PREFIX)
         ]
-        urgent = order_jobs(jobs)[:MAX_JOBS]
+        urgent = order_jobs(jobs)[:MAX_RISKS]
         return [await self._risk(job) for job in urgent]
 
     async def _risk(self, job: JobRecord) -> Risk:
         try:
-            status = await self._reader.status(job['client'], job['id'])
+            status = await self._client_jobs.status(job['client'], job['id'])
         except RefusedError:
             counts: dict[str, Any] = {'completed': 0, 'failed': 0}
         else:
             counts = status['request_counts']
         share = (counts['completed'] + counts['failed']) / job['items']
-        predicted, at_risk = predict(
+        predicted, at_risk = predict_end(
             job['created'],
             job['deadline'],
             share,
@@ -126,17 +126,17 @@
         )
 
     def _members(self, scope: str) -> list[Member]:
-        if scope == INSTANCE:
+        if scope == INSTANCE_SCOPE:
             return []
         zone = self._ctx.cfg.zone
         return [
             member
             for member in self._membership.view.live_members(self._ctx.now())
             if member.instance != self._ctx.cfg.instance
-            and (scope == FLEET or member.zone == zone)
+            and (scope == FLEET_SCOPE or member.zone == zone)
         ]
 
-    async def _ask(self, member: Member) -> Iterable[Row] | None:
+    async def _request_rows(self, member: Member) -> Iterable[Row] | None:
         envelope = Envelope(report_request=ReportRequest())
         try:
             reply = await self._membership.call(member, envelope)
@@ -147,15 +147,15 @@
             for row in reply.report.rows
         ]
 
-    async def _answer_peer(self, envelope: Envelope) -> Envelope:
+    async def _answer_request(self, envelope: Envelope) -> Envelope:
         rows = self._counter.rows(self._ctx.now())
         report = Report(rows=[ReportRow(*row) for row in rows])
         return Envelope(report=report)
 
-    def _heed_job(self, copied: MirroredObject) -> None:
-        """Count a job once in the fleet: where it was finished."""
-        job = copied.document or {}
+    def _on_job_change(self, mirrored: MirroredObject) -> None:
+        """Count a completed job only on the instance that finished it."""
+        job = mirrored.document or {}
         if job.get('state') != COMPLETED:
             return
         if job.get('finisher') == self._ctx.cfg.instance:
-            self._ended.put_nowait(job)
+            self._completed_jobs.put_nowait(job)
--- a/tests/decisions/test_burn.py
+++ b/tests/decisions/test_burn.py
@@ -6,13 +6,13 @@
     AVAILABILITY,
     FIRST_TOKEN,
     BurnCounter,
+    ObjectiveKey,
     Row,
-    Subject,
-    add_up,
-    predict,
+    predict_end,
+    sum_rows,
 )
 
-CHAT = Subject('chat', AVAILABILITY)
+CHAT = ObjectiveKey('chat', AVAILABILITY)
 
 
 def _rows(counter: BurnCounter, now: float) -> dict[int, Row]:
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(('seconds', 'good'), [(1.7, 1), (1.71, 0)])
 def test_times_are_good_within_their_bound(seconds: float, good: int) -> None:
     counter = BurnCounter()
-    counter.measure(Subject('e', FIRST_TOKEN), seconds, 0)
+    counter.record_duration(ObjectiveKey('e', FIRST_TOKEN), seconds, 0)
     assert _rows(counter, 0)[300].good == good
 
 
@@ -49,7 +49,7 @@
         Row('e', AVAILABILITY, 300, 5, 1),
         Row('e', AVAILABILITY, 300, 2, 0),
     ]
-    assert add_up(rows) == [Row('e', AVAILABILITY, 300, 7, 1)]
+    assert sum_rows(rows) == [Row('e', AVAILABILITY, 300, 7, 1)]
 
 
 @pytest.mark.parametrize(
@@ -66,4 +66,4 @@
     wall: float,
     expected: tuple[float | None, bool],
 ) -> None:
-    assert predict(0, 100, share, wall) == expected
+    assert predict_end(0, 100, share, wall) == expected
--- a/tests/decisions/test_configuration.py
+++ b/tests/decisions/test_configuration.py
@@ -8,7 +8,7 @@
 
 from gentiantrestle.config import Settings
 from gentiantrestle.daemon.batch.parser import chunk_item_limit
-from gentiantrestle.daemon.configuration.admin import Proposal, decide
+from gentiantrestle.daemon.configuration.admin import Proposal, check_proposal
 from gentiantrestle.daemon.configuration.document import validate
 from gentiantrestle.daemon.configuration.mirror import Mirror, MirroredObject
 from gentiantrestle.errors import Refusal
@@ -90,7 +90,7 @@
     current: int,
     kind: str,
 ) -> None:
-    decided = decide(Proposal(_document(), based_on), current)
+    decided = check_proposal(Proposal(_document(), based_on), current)
     if kind:
         assert isinstance(decided, Refusal)
         assert decided.kind.name == kind
@@ -124,7 +124,7 @@
         ],
         7,
     )
-    assert {copied.name for copied in mirror.since(4)} == {'b', 'c'}
+    assert {copied.name for copied in mirror.changed_after(4)} == {'b', 'c'}
     assert mirror.get('c') is None
 
 
