--- a/tests/decisions/test_burn.py
+++ b/tests/decisions/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn rates over windows, and jobs at risk."""
+"""Burn rates over windows, and the prediction of jobs at risk."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     return {row.window: row for row in counter.rows(now)}
 
 
-def test_events_leave_the_short_window_first() -> None:
+def test_events_expire_from_short_windows_first() -> None:
     counter = BurnCounter()
     counter.record(CHAT, 0, good=False)
     counter.record(CHAT, 400, good=True)
@@ -33,18 +33,20 @@
     ('good', 'bad', 'burn'),
     [(0, 0, 0), (999, 1, 1), (990, 10, 10), (0, 5, 1000)],
 )
-def test_burn(good: int, bad: int, burn: float) -> None:
+def test_burn_rate_is_bad_share_over_allowed_share(
+    good: int, bad: int, burn: float
+) -> None:
     assert Row('e', AVAILABILITY, 300, good, bad).burn == pytest.approx(burn)
 
 
 @pytest.mark.parametrize(('seconds', 'good'), [(1.7, 1), (1.71, 0)])
-def test_times_are_good_within_their_bound(seconds: float, good: int) -> None:
+def test_duration_is_good_up_to_its_bound(seconds: float, good: int) -> None:
     counter = BurnCounter()
     counter.record_duration(ObjectiveKey('e', FIRST_TOKEN), seconds, 0)
     assert _rows(counter, 0)[300].good == good
 
 
-def test_rows_of_instances_add_up() -> None:
+def test_rows_of_instances_are_summed() -> None:
     rows = [
         Row('e', AVAILABILITY, 300, 5, 1),
         Row('e', AVAILABILITY, 300, 2, 0),
@@ -61,7 +63,7 @@
         (0, 80, (None, True)),
     ],
 )
-def test_jobs_at_risk(
+def test_predicted_end_and_risk_of_a_job(
     share: float,
     wall: float,
     expected: tuple[float | None, bool],
--- a/tests/decisions/test_configuration.py
+++ b/tests/decisions/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: every problem at once, and never going back."""
+"""Validation of configurations and settings, proposals and the mirror."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 from gentiantrestle.errors import Refusal
 from gentiantrestle.library.draft import Draft
 
-GIVEN = {
+REQUIRED_SETTINGS = {
     'instance': 'i0',
     'zone': 'a1',
     'region': 'a',
@@ -41,13 +41,13 @@
     }
 
 
-def _with(path: str, found: Any) -> dict[str, Any]:
+def _document_with(path: str, replacement: Any) -> dict[str, Any]:
     document = _document()
-    *way, last = path.split('.')
+    *parents, last = path.split('.')
     target = document
-    for name in way:
+    for name in parents:
         target = target[name]
-    target[last] = found
+    target[last] = replacement
     return document
 
 
@@ -69,14 +69,14 @@
         ('clients.c.key_hashes', ['short']),
     ],
 )
-def test_wrong_field_is_named_with_a_remedy(path: str, wrong: Any) -> None:
-    problems = validate(_with(path, wrong))
+def test_invalid_field_is_reported_with_a_remedy(path: str, wrong: Any) -> None:
+    problems = validate(_document_with(path, wrong))
     assert [problem.field for problem in problems] == [path]
     assert problems[0].remedy
 
 
-def test_all_problems_come_at_once() -> None:
-    document = _with('upstreams.u.slots', 0)
+def test_all_problems_are_reported_at_once() -> None:
+    document = _document_with('upstreams.u.slots', 0)
     document['endpoints']['e'] = {'deployment': 'none', 'max_prompt': 0}
     assert len(validate(document)) == 3
 
@@ -85,27 +85,27 @@
     ('based_on', 'current', 'kind'),
     [(3, 3, ''), (3, 4, 'conflict'), (4, 3, 'conflict')],
 )
-def test_change_needs_the_revision_in_force(
+def test_proposal_must_be_based_on_the_revision_in_force(
     based_on: int,
     current: int,
     kind: str,
 ) -> None:
-    decided = check_proposal(Proposal(_document(), based_on), current)
+    checked = check_proposal(Proposal(_document(), based_on), current)
     if kind:
-        assert isinstance(decided, Refusal)
-        assert decided.kind.name == kind
-        assert str(current) in decided.reason
-        assert str(based_on) in decided.reason
+        assert isinstance(checked, Refusal)
+        assert checked.kind.name == kind
+        assert str(current) in checked.reason
+        assert str(based_on) in checked.reason
         return
-    assert decided['revision'] == current + 1
+    assert checked['revision'] == current + 1
 
 
 @given(st.lists(st.tuples(st.integers(1, 40), st.booleans())))
 @settings(derandomize=True, deadline=None)
-def test_a_copy_never_goes_back(changes: list[tuple[int, bool]]) -> None:
+def test_mirror_ignores_older_versions(changes: list[tuple[int, bool]]) -> None:
     mirror = Mirror()
     seen = []
-    mirror.add_listener('conf/', lambda copied: seen.append(copied.version))
+    mirror.add_listener('conf/', lambda mirrored: seen.append(mirrored.version))
     for version, deleted in changes:
         document = None if deleted else {'at': version}
         mirror.apply([MirroredObject('conf/x', version, document)], version)
@@ -114,7 +114,7 @@
     assert mirror.revision == max(versions, default=0)
 
 
-def test_a_copy_passes_on_what_has_changed() -> None:
+def test_mirror_yields_changes_with_tombstones() -> None:
     mirror = Mirror()
     mirror.apply(
         [
@@ -124,11 +124,11 @@
         ],
         7,
     )
-    assert {copied.name for copied in mirror.changed_after(4)} == {'b', 'c'}
+    assert {mirrored.name for mirrored in mirror.changed_after(4)} == {'b', 'c'}
     assert mirror.get('c') is None
 
 
-def test_draft_shows_its_difference() -> None:
+def test_difference_lists_added_and_removed_entries() -> None:
     draft = Draft(_document()).remove('clients', 'c')
     draft.endpoint('f', deployment='d', max_prompt=5)
     assert [line.split(' = ')[0] for line in draft.difference()] == [
@@ -142,36 +142,50 @@
     ('flags', 'environ', 'names'),
     [
         ({}, {}, ['instance', 'zone', 'region', 'store']),
-        ({**GIVEN, 'http_port': '0'}, {}, ['http_port']),
-        ({**GIVEN, 'http_port': 'x', 'lease': '0'}, {}, ['http_port', 'lease']),
-        ({**GIVEN, 'store': 'name:1'}, {}, ['store']),
-        ({**GIVEN, 'log_level': 'LOUD'}, {}, ['log_level']),
-        ({**GIVEN, 'admin_key_hash': 'key'}, {}, ['admin_key_hash']),
-        (GIVEN, {'GENTIANTRESTLE_LOG_JSON': 'perhaps'}, ['log_json']),
+        ({**REQUIRED_SETTINGS, 'http_port': '0'}, {}, ['http_port']),
+        (
+            {**REQUIRED_SETTINGS, 'http_port': 'x', 'lease': '0'},
+            {},
+            ['http_port', 'lease'],
+        ),
+        ({**REQUIRED_SETTINGS, 'store': 'name:1'}, {}, ['store']),
+        ({**REQUIRED_SETTINGS, 'log_level': 'LOUD'}, {}, ['log_level']),
+        (
+            {**REQUIRED_SETTINGS, 'admin_key_hash': 'key'},
+            {},
+            ['admin_key_hash'],
+        ),
+        (
+            REQUIRED_SETTINGS,
+            {'GENTIANTRESTLE_LOG_JSON': 'perhaps'},
+            ['log_json'],
+        ),
     ],
 )
-def test_all_wrong_settings_come_at_once(
+def test_all_invalid_settings_are_reported_at_once(
     flags: dict[str, str],
     environ: dict[str, str],
     names: list[str],
 ) -> None:
     problems = Settings.from_sources(flags, environ)
-    assert sorted(one.name for one in problems) == sorted(names)
-    assert all(one.remedy for one in problems)
+    assert sorted(problem.name for problem in problems) == sorted(names)
+    assert all(problem.remedy for problem in problems)
 
 
-def test_flags_go_before_the_environment() -> None:
+def test_flags_override_the_environment() -> None:
     environ = {
         'GENTIANTRESTLE_ZONE': 'from-environment',
         'GENTIANTRESTLE_LEASE': '9',
     }
-    cfg = Settings.from_sources(GIVEN, environ)
+    cfg = Settings.from_sources(REQUIRED_SETTINGS, environ)
     assert (cfg.zone, cfg.lease) == ('a1', 9)
 
 
-def test_secrets_are_not_shown() -> None:
+def test_shown_settings_hide_secrets() -> None:
     secret = '0' * 64
-    cfg = Settings.from_sources({**GIVEN, 'admin_key_hash': secret}, {})
+    cfg = Settings.from_sources(
+        {**REQUIRED_SETTINGS, 'admin_key_hash': secret}, {}
+    )
     assert secret not in ' '.join(
         chosen.display_text for chosen in cfg.setting_values
     )
@@ -181,5 +195,7 @@
     ('body', 'line', 'limit'),
     [(0, 100, 256), (12000, 100, 16), (200000, 100, 200), (10**7, 100, 256)],
 )
-def test_short_jobs_are_split_too(body: int, line: int, limit: int) -> None:
+def test_chunk_item_limit_splits_short_jobs(
+    body: int, line: int, limit: int
+) -> None:
     assert chunk_item_limit(body, line) == limit
--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -1,6 +1,6 @@
-Feature: A conditional write is settled, whatever happens to its answer
+Feature: A conditional write has a known outcome even if its answer is lost
 
-  Scenario Outline: One write under a fault
+  Scenario Outline: Write a document under a fault
     Given a store with <before>
     And the fault <fault>
     When a document is written expecting <expecting>
--- a/tests/interfaces/test_callers.py
+++ b/tests/interfaces/test_callers.py
@@ -1,4 +1,4 @@
-"""Contract of the callers' HTTP side: bad requests and bad jobs."""
+"""Refusals of invalid requests and jobs on the HTTP interface."""
 
 import asyncio
 from collections.abc import Iterator
@@ -16,46 +16,48 @@
 scenarios('../features/callers.feature')
 
 COMPLETIONS = '/v1/completions'
-GOOD = {'model': 'chat', 'prompt': 'hi', 'max_tokens': 1}
-BODIES: dict[str, Any] = {
-    'an unknown model': {**GOOD, 'model': 'none'},
+VALID_BODY = {'model': 'chat', 'prompt': 'hi', 'max_tokens': 1}
+INVALID_BODIES: dict[str, Any] = {
+    'an unknown model': {**VALID_BODY, 'model': 'none'},
     'no model': {'prompt': 'hi'},
-    'no JSON': b'{"model": ',
+    'malformed JSON': b'{"model": ',
     'a JSON list': b'[]',
     'no prompt': {'model': 'chat'},
-    'an empty prompt': {**GOOD, 'prompt': ''},
-    'too many tokens': {**GOOD, 'max_tokens': 10**9},
-    'tokens as text': {**GOOD, 'max_tokens': 'ten'},
-    'an over-long prompt': {**GOOD, 'prompt': 'x' * 1001},
-    'an over-large body': b'x' * (1024 * 1024 + 1),
+    'an empty prompt': {**VALID_BODY, 'prompt': ''},
+    'max_tokens above the limit': {**VALID_BODY, 'max_tokens': 10**9},
+    'max_tokens as a string': {**VALID_BODY, 'max_tokens': 'ten'},
+    'a prompt above the limit': {**VALID_BODY, 'prompt': 'x' * 1001},
+    'a body above the limit': b'x' * (1024 * 1024 + 1),
 }
-RAW = {
+RAW_REQUESTS = {
     'a huge header': b'GET /v1/models HTTP/1.1\r\nHost: x\r\nX: '
     + b'y' * 100000
     + b'\r\n\r\n',
-    'broken HTTP': b'not http at all\r\n\r\n',
+    'malformed HTTP': b'not http at all\r\n\r\n',
 }
 
 
 def _line(**changes: Any) -> bytes:
-    item = {'custom_id': 'c', 'url': COMPLETIONS, 'body': GOOD}
+    item = {'custom_id': 'c', 'url': COMPLETIONS, 'body': VALID_BODY}
     return msgspec.json.encode({**item, **changes}) + b'\n'
 
 
-JOBS = {
-    'nothing': b'',
-    'a doubled custom id': _line() + _line(),
+INVALID_JOBS = {
+    'no items': b'',
+    'a duplicate custom_id': _line() + _line(),
     'malformed line 3': job_lines(2) + b'{"custom_id": \n',
-    'an over-size item': _line(body={**GOOD, 'pad': 'x' * 300000}),
-    'an unknown model': _line(body={**GOOD, 'model': 'none'}),
+    'an item above the limit': _line(body={**VALID_BODY, 'pad': 'x' * 300000}),
+    'an unknown model': _line(body={**VALID_BODY, 'model': 'none'}),
     'two models': _line()
     + _line(
         custom_id='d',
-        body={**GOOD, 'model': 'once'},
+        body={**VALID_BODY, 'model': 'once'},
     ),
     'an unknown url': _line(url='/v1/else'),
-    'an over-long prompt': _line(body={**GOOD, 'prompt': 'x' * 1001}),
-    'a bad window': job_lines(1),
+    'a prompt above the limit': _line(
+        body={**VALID_BODY, 'prompt': 'x' * 1001}
+    ),
+    'an invalid window': job_lines(1),
 }
 
 
@@ -75,23 +77,23 @@
 @when(parsers.re('a caller sends (?P<request>.*)'))
 def _send(world: World, request: str) -> None:
     request = request.strip()
-    if request in BODIES:
-        world.call('POST', COMPLETIONS, BODIES[request])
-    elif request in RAW:
-        world.raw(RAW[request])
+    if request in INVALID_BODIES:
+        world.call('POST', COMPLETIONS, INVALID_BODIES[request])
+    elif request in RAW_REQUESTS:
+        world.raw(RAW_REQUESTS[request])
     else:
         _send_other(world, request)
 
 
 def _send_other(world: World, request: str) -> None:
     chat = '/v1/chat/completions'
-    texts = {'model': 'chat', 'messages': ['hi']}
+    string_messages = {'model': 'chat', 'messages': ['hi']}
     calls: dict[str, tuple[str, str, Any, dict[str, str]]] = {
-        'messages of texts': ('POST', chat, texts, {}),
+        'messages as strings': ('POST', chat, string_messages, {}),
         'a wrong method': ('DELETE', COMPLETIONS, b'', {}),
         'an unknown path': ('GET', '/v1/nothing', b'', {}),
-        'no key': ('POST', COMPLETIONS, GOOD, {'authorization': 'none'}),
-        'a wrong key': ('POST', COMPLETIONS, GOOD, {'key': 'wrong'}),
+        'no key': ('POST', COMPLETIONS, VALID_BODY, {'authorization': 'none'}),
+        'a wrong key': ('POST', COMPLETIONS, VALID_BODY, {'key': 'wrong'}),
         "a client's key to admin": ('GET', '/admin/config', b'', {}),
     }
     method, target, body, fields = calls[request]
@@ -100,9 +102,9 @@
 
 @when(parsers.re('a caller submits (?P<job>.*)'))
 def _submit(world: World, job: str) -> None:
-    window = '-1' if job == 'a bad window' else '60'
+    window = '-1' if job == 'an invalid window' else '60'
     target = f'/v1/batches?completion_window={window}'
-    world.call('POST', target, JOBS[job.strip()])
+    world.call('POST', target, INVALID_JOBS[job.strip()])
 
 
 @then(parsers.parse('the answer is {status:d} of type {kind}'))
@@ -113,13 +115,13 @@
     )
 
 
-@then('it says that the work was not run')
+@then('the answer says that the work was not run')
 def _not_run(world: World) -> None:
     assert world.reply.headers['x-run'] == 'not run'
     assert world.reply.json()['error']['run'] == 'not run'
 
 
-@then('it names a remedy')
+@then('the answer names a remedy')
 def _remedy(world: World) -> None:
     assert world.reply.json()['error']['remedy'].endswith('.')
 
--- a/tests/interfaces/test_peers.py
+++ b/tests/interfaces/test_peers.py
@@ -1,4 +1,4 @@
-"""Contract of the protocol between instances."""
+"""Framing and calls of the protocol between instances."""
 
 import asyncio
 
@@ -65,7 +65,7 @@
     return True
 
 
-def test_members_survive_the_wire() -> None:
+def test_member_is_unchanged_by_encoding_and_decoding() -> None:
     heartbeat = Heartbeat(members=[member_to_wire(MEMBER)])
     frame = encode(Envelope(call=9, heartbeat=heartbeat))
     envelope = decode(frame[LENGTH.size :])
@@ -77,7 +77,7 @@
     'payload',
     [b'', b'\x00', b'no thrift at all', b'\xff' * 64],
 )
-def test_what_is_no_envelope_is_refused(payload: bytes) -> None:
+def test_invalid_payload_raises_bad_frame_error(payload: bytes) -> None:
     with pytest.raises(BadFrameError):
         decode(payload)
 
@@ -94,23 +94,27 @@
             for after in range(50)
         )
     )
-    assert [one.changes_request.after for one in answers] == list(range(50))
+    assert [answer.changes_request.after for answer in answers] == list(
+        range(50)
+    )
     client.close()
     task.cancel()
 
 
-async def test_silence_and_refusal_are_errors() -> None:
+async def test_timeout_and_refused_connection_raise_peer_error() -> None:
     task, address = await _serve()
     client = PeerClient()
-    silent = Envelope(changes_request=ChangesRequest(after=-1))
+    unanswered_request = Envelope(changes_request=ChangesRequest(after=-1))
     with pytest.raises(PeerError):
-        await client.call(address, silent, timeout=0.1)
-    again = Envelope(changes_request=ChangesRequest(after=1))
-    assert (await client.call(address, again)).changes_request.after == 1
+        await client.call(address, unanswered_request, timeout=0.1)
+    answered_request = Envelope(changes_request=ChangesRequest(after=1))
+    assert (
+        await client.call(address, answered_request)
+    ).changes_request.after == 1
     task.cancel()
-    nobody = Address(HOST, free_ports(1)[0])
+    closed_address = Address(HOST, free_ports(1)[0])
     with pytest.raises(PeerError):
-        await client.call(nobody, again)
+        await client.call(closed_address, answered_request)
     client.close()
 
 
@@ -118,7 +122,7 @@
     'sent',
     [LENGTH.pack(2**31), LENGTH.pack(4) + b'\xff' * 4, b'GET / HTTP/1.1\r\n'],
 )
-async def test_garbage_closes_the_connection(sent: bytes) -> None:
+async def test_invalid_frame_closes_the_connection(sent: bytes) -> None:
     task, address = await _serve()
     reader, writer = await asyncio.open_connection(*address)
     writer.write(sent)
--- a/tests/processes/test_configuration.py
+++ b/tests/processes/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: accepted once, in force everywhere, never going back."""
+"""Configuration changes: concurrent, during faults, on every instance."""
 
 import asyncio
 
@@ -6,75 +6,81 @@
 from tests.utils.http import until
 
 
-def _changed(fleet: Fleet, revision: int, limit: int) -> dict:
+def _document_with_limit(fleet: Fleet, revision: int, limit: int) -> dict:
     document = fleet.document(revision)
     document['endpoints']['chat']['max_prompt'] = limit
     return document
 
 
-async def _limit(fleet: Fleet, index: int) -> int:
+async def _read_limit(fleet: Fleet, index: int) -> int:
     reply = await fleet.call(index, 'GET', '/admin/config', key=OPERATOR_KEY)
     return reply.json()['endpoints']['chat']['max_prompt']
 
 
 async def test_accepted_change_reaches_every_instance(start_fleet) -> None:
     fleet = await start_fleet('a1', 'a1', 'a2', 'b1')
-    assert (await fleet.apply(_changed(fleet, 1, 77), 3)).status == 200
+    assert (
+        await fleet.apply(_document_with_limit(fleet, 1, 77), 3)
+    ).status == 200
     for index in range(4):
         await until(lambda index=index: fleet.runs_revision(index, 2), 4)
-        assert await _limit(fleet, index) == 77
+        assert await _read_limit(fleet, index) == 77
 
 
-async def test_of_two_racing_operators_one_wins(start_fleet) -> None:
+async def test_one_of_concurrent_changes_is_accepted(start_fleet) -> None:
     fleet = await start_fleet()
     replies = await asyncio.gather(
         *(
-            fleet.apply(_changed(fleet, 1, 100 + index), index)
+            fleet.apply(_document_with_limit(fleet, 1, 100 + index), index)
             for index in range(3)
         )
     )
     statuses = sorted(reply.status for reply in replies)
     assert statuses == [200, 409, 409]
     winner = [reply.status for reply in replies].index(200)
-    lost = [reply for reply in replies if reply.status == 409]
+    conflicts = [reply for reply in replies if reply.status == 409]
     assert all(
-        'Revision 2' in reply.json()['error']['message'] for reply in lost
+        'Revision 2' in reply.json()['error']['message'] for reply in conflicts
     )
     for index in range(3):
         await until(lambda index=index: fleet.runs_revision(index, 2))
-        assert await _limit(fleet, index) == 100 + winner
+        assert await _read_limit(fleet, index) == 100 + winner
 
 
-async def test_lost_answer_to_an_accepted_change(start_fleet) -> None:
+async def test_change_succeeds_despite_lost_store_answers(start_fleet) -> None:
     fleet = await start_fleet()
     await fleet.fault(lose=2)
-    applied = await fleet.apply(_changed(fleet, 1, 55))
+    applied = await fleet.apply(_document_with_limit(fleet, 1, 55))
     assert applied.status == 200
     assert applied.json()['revision'] == 2
-    assert await _limit(fleet, 0) == 55
+    assert await _read_limit(fleet, 0) == 55
 
 
-async def test_restart_during_an_outage_does_not_go_back(start_fleet) -> None:
+async def test_restart_during_a_store_outage_keeps_revision(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
-    await fleet.apply(_changed(fleet, 1, 88))
+    await fleet.apply(_document_with_limit(fleet, 1, 88))
     for index in range(3):
         await until(lambda index=index: fleet.runs_revision(index, 2))
     await fleet.fault(outage=True)
     await fleet.daemons[2].end()
     await fleet.start_daemon(2)
     await until(lambda: fleet.is_ready(2))
-    assert await _limit(fleet, 2) == 88
+    assert await _read_limit(fleet, 2) == 88
     assert not (await fleet.status(2))['store_reachable']
 
 
-async def test_outage_refuses_a_change_truly(start_fleet) -> None:
+async def test_change_during_an_outage_is_refused_as_not_run(
+    start_fleet,
+) -> None:
     fleet = await start_fleet()
     await fleet.fault(outage=True)
-    refused = await fleet.apply(_changed(fleet, 1, 99))
+    refused = await fleet.apply(_document_with_limit(fleet, 1, 99))
     assert refused.status == 503
     assert refused.headers['x-run'] == 'not run'
     await fleet.fault(outage=False)
-    assert (await fleet.apply(_changed(fleet, 1, 99))).status == 200
+    assert (await fleet.apply(_document_with_limit(fleet, 1, 99))).status == 200
 
 
 async def test_zone_cut_from_the_platform_follows_its_peers(
@@ -82,15 +88,17 @@
 ) -> None:
     fleet = await start_fleet('a1', 'a2', 'a2')
     await fleet.fault(cut_zones=['a2'])
-    assert (await fleet.apply(_changed(fleet, 1, 66), 0)).status == 200
+    assert (
+        await fleet.apply(_document_with_limit(fleet, 1, 66), 0)
+    ).status == 200
     for index in (1, 2):
         await until(lambda index=index: fleet.runs_revision(index, 2), 4)
-        assert await _limit(fleet, index) == 66
+        assert await _read_limit(fleet, index) == 66
 
 
-async def test_history_shows_what_was_in_force(start_fleet) -> None:
+async def test_history_returns_an_earlier_configuration(start_fleet) -> None:
     fleet = await start_fleet('a1')
-    await fleet.apply(_changed(fleet, 1, 44))
+    await fleet.apply(_document_with_limit(fleet, 1, 44))
     reply = await fleet.call(
         0,
         'GET',
--- a/tests/processes/test_zones.py
+++ b/tests/processes/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off from the others and from the platform."""
+"""A zone that is partitioned from the other zone and the platform."""
 
 from collections.abc import AsyncIterator
 
@@ -47,7 +47,7 @@
         await until(in_force, 10)
 
 
-async def _quote(zones: Zones, index: int) -> Reply:
+async def _request_quote(zones: Zones, index: int) -> Reply:
     return await zones.call(
         index,
         'POST',
@@ -57,7 +57,7 @@
     )
 
 
-async def test_cut_zone_serves_and_catches_up(zones: Zones) -> None:
+async def test_cut_zone_serves_and_catches_up_afterwards(zones: Zones) -> None:
     await zones.cut_off('a2')
     for index in range(4):
         reply = await zones.call(index, 'POST', '/v1/completions', COMPLETION)
@@ -69,37 +69,39 @@
     refused = await zones.call(2, 'PUT', '/admin/config', zones.document(1))
     assert (refused.status, refused.headers['x-run']) == (503, 'not run')
 
-    async def says_so() -> bool:
+    async def reports_the_partition() -> bool:
         status = (await zones.call(2, 'GET', '/admin/status')).json()
         return not status['store_reachable'] and not any(
             member['alive'] and member['zone'] == 'a1'
             for member in status['members']
         )
 
-    await until(says_so)
+    await until(reports_the_partition)
     await zones.cut_off()
     await _wait_for(zones, 2, 2, 3)
 
 
-async def test_resend_in_both_halves_runs_once(zones: Zones) -> None:
+async def test_resend_on_both_sides_of_a_partition_runs_once(
+    zones: Zones,
+) -> None:
     await zones.cut_off('a2')
-    replies = [await _quote(zones, index) for index in (2, 0, 3)]
+    replies = [await _request_quote(zones, index) for index in (2, 0, 3)]
     assert [reply.status for reply in replies] == [503, 200, 503]
     assert replies[0].headers['x-run'] == 'not run'
     await zones.cut_off()
-    again = await _quote(zones, 2)
+    again = await _request_quote(zones, 2)
     assert again.body == replies[1].body
 
 
-async def test_cut_zone_with_chunks_does_not_double(zones: Zones) -> None:
-    """Two faults at once: a zone is cut from peers and platform, with work."""
+async def test_cut_zone_with_chunks_gives_no_duplicates(zones: Zones) -> None:
+    """A zone that works on chunks loses its peers and the platform."""
     lines = job_lines(64, 60)
     accepted = await zones.call(2, 'POST', '/v1/batches', lines)
     job = accepted.json()['id']
 
     async def running() -> bool:
         status = (await zones.call(2, 'GET', '/admin/status')).json()
-        return any(one['batch'] for one in status['upstreams'])
+        return any(upstream['batch'] for upstream in status['upstreams'])
 
     await until(running)
     await zones.cut_off('a2')
