--- a/tests/decisions/test_burn.py
+++ b/tests/decisions/test_burn.py
@@ -1,4 +1,4 @@
-"""Burn rates over windows, and jobs at risk."""
+"""Burn rates over windows, and the prediction of jobs at risk."""
 
 import pytest
 
@@ -6,20 +6,20 @@
     AVAILABILITY,
     FIRST_TOKEN,
     BurnCounter,
+    ObjectiveKey,
     Row,
-    Subject,
-    add_up,
-    predict,
+    predict_end,
+    sum_rows,
 )
 
-CHAT = Subject('chat', AVAILABILITY)
+CHAT = ObjectiveKey('chat', AVAILABILITY)
 
 
 def _rows(counter: BurnCounter, now: float) -> dict[int, Row]:
     return {row.window: row for row in counter.rows(now)}
 
 
-def test_events_leave_the_short_window_first() -> None:
+def test_events_expire_from_short_windows_first() -> None:
     counter = BurnCounter()
     counter.record(CHAT, 0, good=False)
     counter.record(CHAT, 400, good=True)
@@ -33,23 +33,25 @@
     ('good', 'bad', 'burn'),
     [(0, 0, 0), (999, 1, 1), (990, 10, 10), (0, 5, 1000)],
 )
-def test_burn(good: int, bad: int, burn: float) -> None:
+def test_burn_rate_is_bad_share_over_allowed_share(
+    good: int, bad: int, burn: float
+) -> None:
     assert Row('e', AVAILABILITY, 300, good, bad).burn == pytest.approx(burn)
 
 
 @pytest.mark.parametrize(('seconds', 'good'), [(1.7, 1), (1.71, 0)])
-def test_times_are_good_within_their_bound(seconds: float, good: int) -> None:
+def test_duration_is_good_up_to_its_bound(seconds: float, good: int) -> None:
     counter = BurnCounter()
-    counter.measure(Subject('e', FIRST_TOKEN), seconds, 0)
+    counter.record_duration(ObjectiveKey('e', FIRST_TOKEN), seconds, 0)
     assert _rows(counter, 0)[300].good == good
 
 
-def test_rows_of_instances_add_up() -> None:
+def test_rows_of_instances_are_summed() -> None:
     rows = [
         Row('e', AVAILABILITY, 300, 5, 1),
         Row('e', AVAILABILITY, 300, 2, 0),
     ]
-    assert add_up(rows) == [Row('e', AVAILABILITY, 300, 7, 1)]
+    assert sum_rows(rows) == [Row('e', AVAILABILITY, 300, 7, 1)]
 
 
 @pytest.mark.parametrize(
@@ -61,9 +63,9 @@
         (0, 80, (None, True)),
     ],
 )
-def test_jobs_at_risk(
+def test_predicted_end_and_risk_of_a_job(
     share: float,
     wall: float,
     expected: tuple[float | None, bool],
 ) -> None:
-    assert predict(0, 100, share, wall) == expected
+    assert predict_end(0, 100, share, wall) == expected
