--- a/gentiantrestle/daemon/configuration/service.py
+++ b/gentiantrestle/daemon/configuration/service.py
@@ -81,7 +81,9 @@
         """
         if self.loaded.is_set():
             after = self.mirror.revision
-            self._apply_listing(await self._store.read_changes(after, *PREFIXES))
+            self._apply_listing(
+                await self._store.read_changes(after, *PREFIXES)
+            )
         else:
             self._apply_listing(await self._store.list_documents(*PREFIXES))
 
