--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -55,7 +55,7 @@
 
 
 async def _ended(fleet: Fleet, job: str) -> bool:
-    return (await fleet.job(1, job))['status'] != 'running'
+    return (await fleet.job_status(1, job))['status'] != 'running'
 
 
 async def measure_takeover(folder: Path) -> list[str]:
@@ -69,7 +69,7 @@
         await fleet.daemons[victim].end()
         held = [
             name
-            for name, record in (await fleet.chunks(job['id'])).items()
+            for name, record in (await fleet.chunk_records(job['id'])).items()
             if record['owner'] == f'i{victim}' and record['state'] == 'held'
         ]
         await until(lambda: _moved(fleet, job['id'], held, victim), 60)
@@ -98,7 +98,7 @@
     held: list[str],
     victim: int,
 ) -> bool:
-    records = await fleet.chunks(job)
+    records = await fleet.chunk_records(job)
     return all(
         records[name]['owner'] != f'i{victim}'
         or records[name]['state'] == 'done'
@@ -112,11 +112,11 @@
     times = []
     try:
         for revision in range(1, ROUNDS + 1):
-            await fleet.apply(fleet.document(revision), revision)
+            await fleet.apply(fleet.config_document(revision), revision)
             began = time.monotonic()
             for index in range(len(fleet.http)):
                 await until(
-                    lambda index=index, revision=revision: fleet.runs_revision(
+                    lambda index=index, revision=revision: fleet.has_revision(
                         index,
                         revision + 1,
                     ),
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -100,7 +100,7 @@
                 await asyncio.sleep(told.get('pause', PAUSE))
                 if cut is not None and number > run['last'] + cut:
                     raise ConnectionResetError('cut as asked')
-                yield event(run['id'], number)
+                yield encode_event(run['id'], number)
             run['done'] = True
         finally:
             run['active'] = False
@@ -114,6 +114,6 @@
     sys.stdout.flush()
 
 
-def event(request_id: str, number: int) -> bytes:
+def encode_event(request_id: str, number: int) -> bytes:
     """Return one event of a request's stream."""
     return f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -36,7 +36,7 @@
 )
 from tests.gateway.memory import MemoryStore
 from tests.gateway.samples import make_batch_route, make_job
-from tests.utils.virtual import play
+from tests.utils.virtual_time import run_virtual
 
 
 def _instance(store: MemoryStore) -> tuple[JobStore, JobIndex]:
@@ -117,7 +117,7 @@
         await job_store.store_results(index.entries['job1'], (_result(0),))
         return store
 
-    store = play(run())
+    store = run_virtual(run())
     assert list(store.kinds[RESULT_KIND]) == [chunk_name('job1', 0)]
 
 
--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -12,7 +12,7 @@
 )
 from gentiantrestle.gateway.ports import StoredObject
 from tests.gateway.memory import MemoryStore
-from tests.utils.virtual import play
+from tests.utils.virtual_time import run_virtual
 
 KIND = 'kind'
 LONG = 60.0
@@ -62,7 +62,7 @@
         task.cancel()
         return store.calls, copy.names
 
-    return play(run())
+    return run_virtual(run())
 
 
 def test_read_at_start_lists_once_with_gate_closed() -> None:
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -21,7 +21,7 @@
     make_route,
     make_upstream,
 )
-from tests.utils.virtual import play, virtual_now
+from tests.utils.virtual_time import run_virtual, virtual_now
 
 INSTANCES = 9
 ENGINE_COUNT = 6
@@ -140,7 +140,7 @@
         gossip_task.cancel()
         return outcomes
 
-    return play(run())
+    return run_virtual(run())
 
 
 def in_time(outcomes: list[Outcome]) -> float:
--- a/tests/gateway/test_retirement.py
+++ b/tests/gateway/test_retirement.py
@@ -8,7 +8,7 @@
     RetirementResponder,
 )
 from tests.gateway.memory import MemoryStore
-from tests.utils.virtual import play
+from tests.utils.virtual_time import run_virtual
 
 KIND = 'retire'
 DONE = {'state': 'done'}
@@ -30,7 +30,7 @@
             store.down = False
         return seen
 
-    return play(run())
+    return run_virtual(run())
 
 
 def test_instance_answers_its_own_request_at_once() -> None:
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -12,7 +12,7 @@
     StoreUnavailableError,
 )
 from tests.gateway.memory import MemoryStore
-from tests.utils.virtual import play, virtual_now
+from tests.utils.virtual_time import run_virtual, virtual_now
 
 KIND = 'kind'
 EFFECT_DELAY = 2.0  # seconds until an unanswered write takes effect
@@ -71,7 +71,7 @@
         new = await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return new, virtual_now()
 
-    return play(run())
+    return run_virtual(run())
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
             KIND, found, 'done'
         )
 
-    assert not play(run())
+    assert not run_virtual(run())
     assert store.kinds[KIND]['one'].status == 'done'
 
 
@@ -128,4 +128,4 @@
             await RetryingStore(store, virtual_now).create(KIND, 'one', 1)
         return virtual_now()
 
-    assert play(run()) <= RETRY_BUDGET
+    assert run_virtual(run()) <= RETRY_BUDGET
--- a/tests/gateway/wire_samples.py
+++ b/tests/gateway/wire_samples.py
@@ -3,7 +3,7 @@
 import base64
 from typing import Any
 
-from standins.upstream import event
+from standins.upstream import encode_event
 
 ROUTE_HOST = 'shop.example'
 SERVICE = 'engines'
@@ -80,4 +80,6 @@
 
 def expected_stream(request_id: str, events: int) -> bytes:
     """Return the body of a complete event stream."""
-    return b''.join(event(request_id, index + 1) for index in range(events))
+    return b''.join(
+        encode_event(request_id, index + 1) for index in range(events)
+    )
--- a/tests/interfaces/test_callers.py
+++ b/tests/interfaces/test_callers.py
@@ -11,7 +11,7 @@
 
 from tests.utils.fleet import CLIENT_KEY, Fleet, job_lines
 from tests.utils.http import send_raw
-from tests.utils.world import World
+from tests.utils.sync_fleet import SyncFleet
 
 scenarios('../features/callers.feature')
 
@@ -60,30 +60,30 @@
 
 
 @pytest.fixture(scope='module')
-def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
+def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
     """Share one fleet between the scenarios."""
-    shared = World(tmp_path_factory.mktemp('callers'))
+    shared = SyncFleet(tmp_path_factory.mktemp('callers'))
     yield shared
     shared.close()
 
 
 @given('an instance with one engine')
-def _instance(world: World) -> None:
+def _instance(world: SyncFleet) -> None:
     world.reply = None
 
 
 @when(parsers.re('a caller sends (?P<request>.*)'))
-def _send(world: World, request: str) -> None:
+def _send(world: SyncFleet, request: str) -> None:
     request = request.strip()
     if request in BODIES:
         world.call('POST', COMPLETIONS, BODIES[request])
     elif request in RAW:
-        world.raw(RAW[request])
+        world.call_raw(RAW[request])
     else:
         _send_other(world, request)
 
 
-def _send_other(world: World, request: str) -> None:
+def _send_other(world: SyncFleet, request: str) -> None:
     chat = '/v1/chat/completions'
     texts = {'model': 'chat', 'messages': ['hi']}
     calls: dict[str, tuple[str, str, Any, dict[str, str]]] = {
@@ -99,14 +99,14 @@
 
 
 @when(parsers.re('a caller submits (?P<job>.*)'))
-def _submit(world: World, job: str) -> None:
+def _submit(world: SyncFleet, job: str) -> None:
     window = '-1' if job == 'a bad window' else '60'
     target = f'/v1/batches?completion_window={window}'
     world.call('POST', target, JOBS[job.strip()])
 
 
 @then(parsers.parse('the answer is {status:d} of type {kind}'))
-def _answer(world: World, status: int, kind: str) -> None:
+def _answer(world: SyncFleet, status: int, kind: str) -> None:
     assert (world.reply.status, world.reply.json()['error']['type']) == (
         status,
         kind.strip(),
@@ -114,33 +114,33 @@
 
 
 @then('it says that the work was not run')
-def _not_run(world: World) -> None:
+def _not_run(world: SyncFleet) -> None:
     assert world.reply.headers['x-run'] == 'not run'
     assert world.reply.json()['error']['run'] == 'not run'
 
 
 @then('it names a remedy')
-def _remedy(world: World) -> None:
+def _remedy(world: SyncFleet) -> None:
     assert world.reply.json()['error']['remedy'].endswith('.')
 
 
 @then('no engine has run anything')
-def _no_run(world: World) -> None:
+def _no_run(world: SyncFleet) -> None:
     assert not world.runner.run(world.fleet.engine_runs())
 
 
 @then(parsers.parse('the message has "{words}"'))
-def _words(world: World, words: str) -> None:
+def _words(world: SyncFleet, words: str) -> None:
     assert words in world.reply.json()['error']['message']
 
 
 @then('the account has no job')
-def _no_job(world: World) -> None:
+def _no_job(world: SyncFleet) -> None:
     world.call('GET', '/v1/batches', b'')
     assert not world.reply.json()['data']
 
 
-def test_a_job_of_another_account_is_not_found(world: World) -> None:
+def test_a_job_of_another_account_is_not_found(world: SyncFleet) -> None:
     world.call('POST', '/v1/batches', job_lines(1), idempotency_key='mine')
     job = world.reply.json()['id']
     world.call('GET', f'/v1/batches/{job}', b'', key='other-key')
@@ -149,14 +149,14 @@
     assert world.reply.status == 404
 
 
-def test_resend_with_another_body_is_a_conflict(world: World) -> None:
+def test_resend_with_another_body_is_a_conflict(world: SyncFleet) -> None:
     world.call('POST', '/v1/batches', job_lines(1), idempotency_key='twice')
     world.call('POST', '/v1/batches', job_lines(2), idempotency_key='twice')
     assert world.reply.status == 409
     assert world.reply.json()['error']['type'] == 'idempotency_key_reused'
 
 
-def test_probes_and_metrics_need_no_key(world: World) -> None:
+def test_probes_and_metrics_need_no_key(world: SyncFleet) -> None:
     for target in ('/healthz', '/readyz', '/metrics'):
         world.call('GET', target, b'', authorization='none')
         assert world.reply.status == 200
--- a/tests/interfaces/test_cli.py
+++ b/tests/interfaces/test_cli.py
@@ -14,21 +14,21 @@
 from gentiantrestle.options import OPTIONS as SETTINGS
 from tests.utils.fleet import CLIENT_KEY, OPERATOR_KEY, job_lines
 from tests.utils.ports import HOST, free_ports
-from tests.utils.world import World
+from tests.utils.sync_fleet import SyncFleet
 
 Tool = Callable[..., ExitStatus]
 
 
 @pytest.fixture(scope='module')
-def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
+def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
     """Share one fleet between the tests."""
-    shared = World(tmp_path_factory.mktemp('cli'))
+    shared = SyncFleet(tmp_path_factory.mktemp('cli'))
     yield shared
     shared.close()
 
 
 @pytest.fixture
-def tool(world: World) -> Tool:
+def tool(world: SyncFleet) -> Tool:
     """Run the tool against the fleet."""
 
     def call(*words: str, key: str = CLIENT_KEY) -> ExitStatus:
@@ -136,7 +136,7 @@
     tool: Tool,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
-    world: World,
+    world: SyncFleet,
 ) -> None:
     operator = Operator.connect(str(world.fleet.http[0]), OPERATOR_KEY)
     draft = operator.draft().remove('clients', 'other')
--- a/tests/processes/test_batch.py
+++ b/tests/processes/test_batch.py
@@ -36,7 +36,7 @@
     accepted = await fleet.submit(1, job_lines(ITEMS), 'job')
     assert accepted.status == 202
     job = accepted.json()['id']
-    status = await fleet.wait_for_end(2, job)
+    status = await fleet.wait_for_job(2, job)
     assert status['request_counts'] == {
         'total': ITEMS,
         'completed': ITEMS,
@@ -51,7 +51,7 @@
     holder = await _wait_for_holder(fleet)
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
-    status = await fleet.wait_for_end(reader, job)
+    status = await fleet.wait_for_job(reader, job)
     assert status['request_counts']['completed'] == ITEMS
     await fleet.start_daemon(holder)
     await until(lambda: fleet.is_ready(0))
@@ -67,7 +67,7 @@
     paused = fleet.daemons[holder]
     paused.send_signal(signal.SIGSTOP)
     reader = (holder + 1) % 3
-    status = await fleet.wait_for_end(reader, job)
+    status = await fleet.wait_for_job(reader, job)
     paused.send_signal(signal.SIGCONT)
     await until(lambda: fleet.is_ready(holder))
     assert status['request_counts']['completed'] == ITEMS
@@ -91,7 +91,7 @@
     )
     paused.send_signal(signal.SIGCONT)
     await until(lambda: b'lost to another' in paused.log.read_bytes())
-    await fleet.wait_for_end((holder + 1) % 3, job)
+    await fleet.wait_for_job((holder + 1) % 3, job)
     await until(lambda: fleet.is_ready(0))
     await _assert_one_result_each(fleet, job, ITEMS)
 
@@ -105,7 +105,7 @@
     await fleet.daemons[0].end()
     second = await fleet.submit(1, lines, 'job')
     assert second.json()['id'] == first.json()['id']
-    await fleet.wait_for_end(1, first.json()['id'])
+    await fleet.wait_for_job(1, first.json()['id'])
     listed = (await fleet.call(1, 'GET', '/v1/batches')).json()['data']
     assert len(listed) == 1
 
@@ -116,31 +116,31 @@
     fleet = await start_fleet()
     job = (await fleet.submit(0, job_lines(ITEMS), 'job')).json()['id']
     await fleet.daemons[0].end()
-    status = await fleet.wait_for_end(1, job)
+    status = await fleet.wait_for_job(1, job)
     assert status['request_counts']['completed'] == ITEMS
 
 
 async def test_submission_during_store_outage_is_refused(start_fleet) -> None:
     fleet = await start_fleet()
-    await fleet.fault(outage=True)
+    await fleet.control_platform(outage=True)
     refused = await fleet.submit(0, job_lines(ITEMS), 'job')
     assert refused.status == 503
     assert refused.headers['x-run'] == 'not run'
     assert refused.headers['retry-after']
-    await fleet.fault(outage=False)
+    await fleet.control_platform(outage=False)
     accepted = await fleet.submit(1, job_lines(ITEMS), 'job')
-    status = await fleet.wait_for_end(0, accepted.json()['id'])
+    status = await fleet.wait_for_job(0, accepted.json()['id'])
     assert status['request_counts']['completed'] == ITEMS
 
 
 async def test_lost_store_answers_do_not_duplicate_results(start_fleet) -> None:
     fleet = await start_fleet()
-    await fleet.fault(lose=2)
+    await fleet.control_platform(lose=2)
     accepted = await fleet.submit(0, job_lines(ITEMS), 'job')
     assert accepted.status == 202
-    await fleet.fault(lose=3)
+    await fleet.control_platform(lose=3)
     job = accepted.json()['id']
-    await fleet.wait_for_end(0, job)
+    await fleet.wait_for_job(0, job)
     await _assert_one_result_each(fleet, job, ITEMS)
 
 
@@ -148,11 +148,11 @@
     fleet = await start_fleet(engine_words=SLOW_STEP)
     job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     await until(lambda: _find_holder(fleet) is not None)
-    await fleet.fault(outage=True)
+    await fleet.control_platform(outage=True)
     log = fleet.daemons[_find_holder(fleet)].log
     await until(lambda: b'results of' in log.read_bytes())
-    await fleet.fault(outage=False)
-    status = await fleet.wait_for_end(0, job)
+    await fleet.control_platform(outage=False)
+    status = await fleet.wait_for_job(0, job)
     assert status['request_counts']['completed'] == ITEMS
     await _assert_one_result_each(fleet, job, ITEMS)
     assert set((await fleet.engine_runs()).values()) == {1}
@@ -163,7 +163,7 @@
     poisoned = job_lines(3, prefix='poison')
     lines = job_lines(20) + poisoned.replace(b'_id":"c', b'_id":"bad')
     job = (await fleet.submit(0, lines, 'job')).json()['id']
-    status = await fleet.wait_for_end(0, job)
+    status = await fleet.wait_for_job(0, job)
     assert status['request_counts'] == {
         'total': 23,
         'completed': 20,
@@ -204,7 +204,7 @@
 async def test_cancel_of_a_finished_job_is_a_conflict(start_fleet) -> None:
     fleet = await start_fleet()
     job = (await fleet.submit(0, job_lines(3), 'job')).json()['id']
-    await fleet.wait_for_end(0, job)
+    await fleet.wait_for_job(0, job)
     refused = await fleet.call(1, 'POST', f'/v1/batches/{job}/cancel')
     assert refused.status == 409
     assert refused.json()['error']['type'] == 'conflict'
@@ -212,7 +212,7 @@
 
 async def _owner_of_started_chunk(fleet: Fleet, job: str) -> str | None:
     """Return the holder of a chunk with started items and no result."""
-    for record in (await fleet.chunks(job)).values():
+    for record in (await fleet.chunk_records(job)).values():
         if record['started'] != '0' and record['settled'] == '0':
             return record['owner']
     return None
@@ -226,7 +226,7 @@
     holder = int(owner.removeprefix('i'))
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
-    status = await fleet.wait_for_end(reader, job)
+    status = await fleet.wait_for_job(reader, job)
     counts = status['request_counts']
     assert counts['completed'] + counts['failed'] == 40
     assert counts['failed']
@@ -239,10 +239,10 @@
     fleet = await start_fleet(engine_words=SLOW_STEP)
     job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
-    await fleet.fault(lose=4)
+    await fleet.control_platform(lose=4)
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
-    await fleet.wait_for_end(reader, job)
+    await fleet.wait_for_job(reader, job)
     await fleet.start_daemon(holder)
     await until(lambda: fleet.is_ready(0))
     await _assert_one_result_each(fleet, job, ITEMS)
@@ -253,12 +253,12 @@
     fleet = await start_fleet(engine_words=SLOW_STEP)
     job = (await fleet.submit(0, job_lines(ITEMS, TOKENS), 'job')).json()['id']
     holder = await _wait_for_holder(fleet)
-    await fleet.fault(outage=True)
+    await fleet.control_platform(outage=True)
     await fleet.daemons[holder].end()
     await fleet.start_daemon(holder)
     await until(lambda: fleet.is_ready(holder))
-    await fleet.fault(outage=False)
-    await fleet.wait_for_end(holder, job)
+    await fleet.control_platform(outage=False)
+    await fleet.wait_for_job(holder, job)
     await _assert_one_result_each(fleet, job, ITEMS)
 
 
--- a/tests/processes/test_configuration.py
+++ b/tests/processes/test_configuration.py
@@ -7,7 +7,7 @@
 
 
 def _changed(fleet: Fleet, revision: int, limit: int) -> dict:
-    document = fleet.document(revision)
+    document = fleet.config_document(revision)
     document['endpoints']['chat']['max_prompt'] = limit
     return document
 
@@ -21,7 +21,7 @@
     fleet = await start_fleet('a1', 'a1', 'a2', 'b1')
     assert (await fleet.apply(_changed(fleet, 1, 77), 3)).status == 200
     for index in range(4):
-        await until(lambda index=index: fleet.runs_revision(index, 2), 4)
+        await until(lambda index=index: fleet.has_revision(index, 2), 4)
         assert await _limit(fleet, index) == 77
 
 
@@ -41,13 +41,13 @@
         'Revision 2' in reply.json()['error']['message'] for reply in lost
     )
     for index in range(3):
-        await until(lambda index=index: fleet.runs_revision(index, 2))
+        await until(lambda index=index: fleet.has_revision(index, 2))
         assert await _limit(fleet, index) == 100 + winner
 
 
 async def test_lost_answer_to_an_accepted_change(start_fleet) -> None:
     fleet = await start_fleet()
-    await fleet.fault(lose=2)
+    await fleet.control_platform(lose=2)
     applied = await fleet.apply(_changed(fleet, 1, 55))
     assert applied.status == 200
     assert applied.json()['revision'] == 2
@@ -58,8 +58,8 @@
     fleet = await start_fleet()
     await fleet.apply(_changed(fleet, 1, 88))
     for index in range(3):
-        await until(lambda index=index: fleet.runs_revision(index, 2))
-    await fleet.fault(outage=True)
+        await until(lambda index=index: fleet.has_revision(index, 2))
+    await fleet.control_platform(outage=True)
     await fleet.daemons[2].end()
     await fleet.start_daemon(2)
     await until(lambda: fleet.is_ready(2))
@@ -69,11 +69,11 @@
 
 async def test_outage_refuses_a_change_truly(start_fleet) -> None:
     fleet = await start_fleet()
-    await fleet.fault(outage=True)
+    await fleet.control_platform(outage=True)
     refused = await fleet.apply(_changed(fleet, 1, 99))
     assert refused.status == 503
     assert refused.headers['x-run'] == 'not run'
-    await fleet.fault(outage=False)
+    await fleet.control_platform(outage=False)
     assert (await fleet.apply(_changed(fleet, 1, 99))).status == 200
 
 
@@ -81,10 +81,10 @@
     start_fleet,
 ) -> None:
     fleet = await start_fleet('a1', 'a2', 'a2')
-    await fleet.fault(cut_zones=['a2'])
+    await fleet.control_platform(cut_zones=['a2'])
     assert (await fleet.apply(_changed(fleet, 1, 66), 0)).status == 200
     for index in (1, 2):
-        await until(lambda index=index: fleet.runs_revision(index, 2), 4)
+        await until(lambda index=index: fleet.has_revision(index, 2), 4)
         assert await _limit(fleet, index) == 66
 
 
--- a/tests/processes/test_online.py
+++ b/tests/processes/test_online.py
@@ -159,7 +159,7 @@
     start_fleet,
 ) -> None:
     fleet = await start_fleet()
-    await fleet.fault(lose=1)
+    await fleet.control_platform(lose=1)
     reply = await _quote(fleet, 0, 'key')
     assert reply.status == 200
     assert await fleet.service_runs() == {'quote': 1}
@@ -169,13 +169,13 @@
     start_fleet,
 ) -> None:
     fleet = await start_fleet()
-    await fleet.fault(outage=True)
+    await fleet.control_platform(outage=True)
     assert (await _complete(fleet, 0)).status == 200
     refused = await _quote(fleet, 0, 'key')
     assert refused.status == 503
     assert refused.headers['x-run'] == 'not run'
     assert not await fleet.service_runs()
-    await fleet.fault(outage=False)
+    await fleet.control_platform(outage=False)
     assert (await _quote(fleet, 1, 'key')).status == 200
 
 
@@ -229,7 +229,7 @@
     whole = [reply for reply in replies if reply.status == 200]
     assert whole
     assert all(reply.body.endswith(b'[DONE]\n\n') for reply in whole)
-    status = await fleet.wait_for_end(0, job)
+    status = await fleet.wait_for_job(0, job)
     assert status['request_counts']['completed'] == 60
 
 
--- a/tests/processes/test_zones.py
+++ b/tests/processes/test_zones.py
@@ -6,15 +6,15 @@
 
 from tests.utils.fleet import UNREACHABLE, job_lines
 from tests.utils.http import Reply, until
-from tests.utils.zones import Zones
+from tests.utils.in_process_fleet import InProcessFleet
 
 COMPLETION = {'model': 'chat', 'prompt': 'hi', 'max_tokens': 2}
 
 
 @pytest.fixture
-async def zones() -> AsyncIterator[Zones]:
+async def zones() -> AsyncIterator[InProcessFleet]:
     """Start two zones with a configuration in force."""
-    started = Zones(('a1', 'a1', 'a2', 'a2'))
+    started = InProcessFleet(('a1', 'a1', 'a2', 'a2'))
     await started.start()
 
     async def applied() -> bool:
@@ -23,7 +23,7 @@
                 0,
                 'PUT',
                 '/admin/config',
-                started.document(0),
+                started.config_document(0),
             )
         except UNREACHABLE:
             return False
@@ -35,7 +35,9 @@
     await started.stop()
 
 
-async def _wait_for(zones: Zones, revision: int, *indexes: int) -> None:
+async def _wait_for(
+    zones: InProcessFleet, revision: int, *indexes: int
+) -> None:
     for index in indexes:
 
         async def in_force(index: int = index) -> bool:
@@ -47,7 +49,7 @@
         await until(in_force, 10)
 
 
-async def _quote(zones: Zones, index: int) -> Reply:
+async def _quote(zones: InProcessFleet, index: int) -> Reply:
     return await zones.call(
         index,
         'POST',
@@ -57,16 +59,20 @@
     )
 
 
-async def test_cut_zone_serves_and_catches_up(zones: Zones) -> None:
-    await zones.cut_off('a2')
+async def test_cut_zone_serves_and_catches_up(zones: InProcessFleet) -> None:
+    await zones.isolate_zones('a2')
     for index in range(4):
         reply = await zones.call(index, 'POST', '/v1/completions', COMPLETION)
         assert reply.status == 200
-    changed = await zones.call(0, 'PUT', '/admin/config', zones.document(1))
+    changed = await zones.call(
+        0, 'PUT', '/admin/config', zones.config_document(1)
+    )
     assert changed.status == 200
     await _wait_for(zones, 2, 0, 1)
     assert [await zones.revision(index) for index in (2, 3)] == [1, 1]
-    refused = await zones.call(2, 'PUT', '/admin/config', zones.document(1))
+    refused = await zones.call(
+        2, 'PUT', '/admin/config', zones.config_document(1)
+    )
     assert (refused.status, refused.headers['x-run']) == (503, 'not run')
 
     async def says_so() -> bool:
@@ -77,21 +83,23 @@
         )
 
     await until(says_so)
-    await zones.cut_off()
+    await zones.isolate_zones()
     await _wait_for(zones, 2, 2, 3)
 
 
-async def test_resend_in_both_halves_runs_once(zones: Zones) -> None:
-    await zones.cut_off('a2')
+async def test_resend_in_both_halves_runs_once(zones: InProcessFleet) -> None:
+    await zones.isolate_zones('a2')
     replies = [await _quote(zones, index) for index in (2, 0, 3)]
     assert [reply.status for reply in replies] == [503, 200, 503]
     assert replies[0].headers['x-run'] == 'not run'
-    await zones.cut_off()
+    await zones.isolate_zones()
     again = await _quote(zones, 2)
     assert again.body == replies[1].body
 
 
-async def test_cut_zone_with_chunks_does_not_double(zones: Zones) -> None:
+async def test_cut_zone_with_chunks_does_not_double(
+    zones: InProcessFleet,
+) -> None:
     """Two faults at once: a zone is cut from peers and platform, with work."""
     lines = job_lines(64, 60)
     accepted = await zones.call(2, 'POST', '/v1/batches', lines)
@@ -102,14 +110,14 @@
         return any(one['batch'] for one in status['upstreams'])
 
     await until(running)
-    await zones.cut_off('a2')
+    await zones.isolate_zones('a2')
 
     async def ended() -> bool:
         status = (await zones.call(0, 'GET', f'/v1/batches/{job}')).json()
         return status['status'] == 'completed'
 
     await until(ended, 40)
-    await zones.cut_off()
+    await zones.isolate_zones()
     reply = await zones.call(3, 'GET', f'/v1/batches/{job}/results')
     assert len(reply.body.splitlines()) == 64
     assert len({line.split(b'"')[3] for line in reply.body.splitlines()}) == 64
--- a/tests/utils/fleet.py
+++ b/tests/utils/fleet.py
@@ -23,7 +23,7 @@
 UNREACHABLE = (NotSentError, ConnectionLostError)
 
 
-def hash_of(key: str) -> str:
+def hash_key(key: str) -> str:
     """Hash a key as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -93,7 +93,7 @@
             await until(lambda index=index: self.is_ready(index))
         await until(lambda: self._apply_first())
         for index, _ in enumerate(self.zones):
-            await until(lambda index=index: self.runs_revision(index, 1))
+            await until(lambda index=index: self.has_revision(index, 1))
 
     async def stop(self) -> None:
         """End every process that was started."""
@@ -115,7 +115,7 @@
             f'--peer_port={self.peers[index].port}',
             f'--store={self.platform}',
             f'--peers={peers}',
-            f'--admin_key_hash={hash_of(OPERATOR_KEY)}',
+            f'--admin_key_hash={hash_key(OPERATOR_KEY)}',
             '--lease=1.5',
             '--silence=0.6',
             '--heartbeat=0.1',
@@ -136,7 +136,7 @@
         headers.setdefault('authorization', f'Bearer {key}')
         return await send(self.http[index], method, target, body, **headers)
 
-    async def fault(self, **switches: Any) -> None:
+    async def control_platform(self, **switches: Any) -> None:
         """Switch faults of the platform."""
         await send(self.platform, 'POST', '/control', switches)
 
@@ -194,7 +194,7 @@
         reply = await self.call(index, 'GET', '/admin/status', key=OPERATOR_KEY)
         return reply.json()
 
-    async def runs_revision(self, index: int, revision: int) -> bool:
+    async def has_revision(self, index: int, revision: int) -> bool:
         """Tell whether a configuration is in force at a daemon."""
         return (await self.status(index))['config_revision'] >= revision
 
@@ -219,20 +219,20 @@
             idempotency_key=key,
         )
 
-    async def job(self, index: int, job: str) -> dict[str, Any]:
+    async def job_status(self, index: int, job: str) -> dict[str, Any]:
         """Read a job's status."""
         return (await self.call(index, 'GET', f'/v1/batches/{job}')).json()
 
-    async def wait_for_end(self, index: int, job: str) -> dict[str, Any]:
+    async def wait_for_job(self, index: int, job: str) -> dict[str, Any]:
         """Wait until a job has ended; return its last status."""
 
         async def ended() -> dict[str, Any] | None:
-            status = await self.job(index, job)
+            status = await self.job_status(index, job)
             return status if status.get('finished_at') else None
 
         return await until(ended, 25)
 
-    async def chunks(self, job: str) -> dict[str, dict[str, Any]]:
+    async def chunk_records(self, job: str) -> dict[str, dict[str, Any]]:
         """Read the records of a job's chunks from the platform."""
         target = f'/v1/objects?values=1&prefix=chunks/{job}/'
         listing = (await send(self.platform, 'GET', target)).json()
@@ -253,7 +253,7 @@
             key=OPERATOR_KEY,
         )
 
-    def document(self, revision: int = 0) -> dict[str, Any]:
+    def config_document(self, revision: int = 0) -> dict[str, Any]:
         """Describe the fleet's configuration."""
         engines = {
             f'e{index}': {
@@ -287,8 +287,8 @@
                 'book': {'deployment': 'svc', 'max_prompt': 1000},
             },
             'clients': {
-                'moko': {'key_hashes': [hash_of(CLIENT_KEY)]},
-                'other': {'key_hashes': [hash_of(OTHER_KEY)]},
+                'moko': {'key_hashes': [hash_key(CLIENT_KEY)]},
+                'other': {'key_hashes': [hash_key(OTHER_KEY)]},
             },
         }
 
@@ -296,7 +296,7 @@
         return self._folder / f'{name}.log'
 
     async def _apply_first(self) -> bool:
-        return (await self.apply(self.document())).status == 200
+        return (await self.apply(self.config_document())).status == 200
 
     async def _start_standin(
         self,
--- a/tests/utils/zones.py
+++ b/tests/utils/in_process_fleet.py
@@ -15,12 +15,12 @@
 from standins.engine import EngineConfig, EngineStandin
 from standins.platform import PlatformStandin
 from standins.service import ServiceStandin
-from tests.utils.fleet import CLIENT_KEY, OPERATOR_KEY, hash_of
+from tests.utils.fleet import CLIENT_KEY, OPERATOR_KEY, hash_key
 from tests.utils.http import Reply, send
 from tests.utils.ports import HOST, free_ports
 
 
-class Zones:
+class InProcessFleet:
     """One daemon and one engine in each zone, a platform and a service."""
 
     def __init__(self, zones: tuple[str, ...]) -> None:
@@ -35,7 +35,7 @@
         self.service_address = Address(HOST, next(ports))
         self.platform = PlatformStandin()
         self.service = ServiceStandin(0.01)
-        self.cut: set[str] = set()
+        self.isolated_zones: set[str] = set()
         self._servers: list[Server] = []
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -58,9 +58,9 @@
         for server in self._servers:
             await server.stop(0)
 
-    async def cut_off(self, *zones: str) -> None:
+    async def isolate_zones(self, *zones: str) -> None:
         """Cut zones off from the others and from the platform."""
-        self.cut = set(zones)
+        self.isolated_zones = set(zones)
         body = {'cut_zones': list(zones)}
         await send(self.platform_address, 'POST', '/control', body)
 
@@ -83,7 +83,7 @@
             'revision'
         ]
 
-    def document(self, revision: int) -> dict[str, Any]:
+    def config_document(self, revision: int) -> dict[str, Any]:
         """Describe the fleet."""
         upstreams = {
             f'e{index}': {
@@ -112,7 +112,7 @@
                 'chat': {'deployment': 'd', 'max_prompt': 100},
                 'book': {'deployment': 'svc', 'max_prompt': 100},
             },
-            'clients': {'moko': {'key_hashes': [hash_of(CLIENT_KEY)]}},
+            'clients': {'moko': {'key_hashes': [hash_key(CLIENT_KEY)]}},
         }
 
     async def _serve(
@@ -134,7 +134,7 @@
                 'peer_port': str(self.peers[index].port),
                 'store': str(self.platform_address),
                 'peers': ','.join(map(str, self.peers)),
-                'admin_key_hash': hash_of(OPERATOR_KEY),
+                'admin_key_hash': hash_key(OPERATOR_KEY),
                 'heartbeat': '0.1',
                 'silence': '0.6',
                 'lease': '1.5',
@@ -157,7 +157,7 @@
             timeout: float = 1,
         ) -> Envelope:
             other = self.zones[self.peers.index(address)]
-            if other != zone and self.cut & {other, zone}:
+            if other != zone and self.isolated_zones & {other, zone}:
                 raise PeerError('cut')
             return await call(address, envelope, timeout)
 
--- a/tests/utils/world.py
+++ b/tests/utils/sync_fleet.py
@@ -8,7 +8,7 @@
 from tests.utils.http import Reply, send_raw
 
 
-class World:
+class SyncFleet:
     """A fleet of one instance, shared by all scenarios of this module."""
 
     def __init__(self, folder: Path) -> None:
@@ -28,7 +28,7 @@
         sent = self.fleet.call(0, method, target, body, **fields)
         self.reply = self.runner.run(sent)
 
-    def raw(self, sent: bytes) -> None:
+    def call_raw(self, sent: bytes) -> None:
         """Send bytes as they are and keep the answer."""
         came = self.runner.run(send_raw(self.fleet.http[0], sent))
         head, _, body = came.partition(b'\r\n\r\n')
--- a/tests/utils/virtual.py
+++ b/tests/utils/virtual_time.py
@@ -32,7 +32,7 @@
         return self._jumping.now
 
 
-def play(main: Coroutine[Any, Any, Any]) -> Any:
+def run_virtual(main: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine on virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
