--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on stand-ins; every figure is a ratio within one run."""
+"""Measurements on stand-ins; compare figures within one run only."""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes for docs/CAPACITY.md: what grows with members, jobs, upstreams."""
+"""Costs per member, job and upstream, for docs/CAPACITY.md."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from benchmarks.hop import cpu_seconds, memory_of
+from benchmarks.hop import cpu_seconds, resident_memory
 from gentiantrestle.daemon.configuration.document import validate
 from gentiantrestle.daemon.configuration.mirror import Mirror, MirroredObject
 from gentiantrestle.daemon.membership.codec import (
@@ -20,26 +20,31 @@
 from gentiantrestle.wire.peer.ttypes import Envelope, Heartbeat
 from tests.utils.fleet import Fleet
 
-SIZES = (3, 9, 18)
-SECONDS = 8.0
+FLEET_SIZES = (3, 9, 18)
+IDLE_SECONDS = 8.0
 MEBIBYTE = 1048576
-MICROSECONDS = 1_000_000
-MEMBERS = (9, 54, 590)
-JOBS = 13200
-UPSTREAMS = 3800
+US_PER_SECOND = 1_000_000
+MEMBER_COUNTS = (9, 54, 590)
+JOB_COUNT = 13200
+UPSTREAM_COUNT = 3800
 
 
 async def measure_control(folder: Path) -> list[str]:
-    """CPU and memory of an idle daemon in fleets of several sizes."""
+    """Measure idle daemons, heartbeats, jobs and configurations."""
     lines = []
-    for size in SIZES:
-        place = folder / str(size)
-        place.mkdir()
-        lines.append(await _idle(place, size))
-    return [*lines, *_messages(), *_jobs(), *_fleet()]
+    for size in FLEET_SIZES:
+        size_folder = folder / str(size)
+        size_folder.mkdir()
+        lines.append(await _measure_idle(size_folder, size))
+    return [
+        *lines,
+        *_measure_heartbeats(),
+        *_measure_jobs(),
+        *_measure_config(),
+    ]
 
 
-async def _idle(folder: Path, size: int) -> str:
+async def _measure_idle(folder: Path, size: int) -> str:
     fleet = Fleet(folder, ('a1',) * size)
     fleet.engines = fleet.engines[:1]
     fleet.daemon_flags = ('--heartbeat=0.25', '--silence=1.5', '--lease=6')
@@ -47,40 +52,40 @@
     pids = [daemon.child.pid for daemon in fleet.daemons]
     await asyncio.sleep(2)
     before = [cpu_seconds(pid) for pid in pids]
-    await asyncio.sleep(SECONDS)
-    spent = [
-        cpu_seconds(pid) - earlier
-        for pid, earlier in zip(pids, before, strict=True)
+    await asyncio.sleep(IDLE_SECONDS)
+    cpu_times = [
+        cpu_seconds(pid) - start
+        for pid, start in zip(pids, before, strict=True)
     ]
-    memory = max(memory_of(pid) for pid in pids)
+    memory = max(resident_memory(pid) for pid in pids)
     await fleet.stop()
-    share = sum(spent) / len(spent) / SECONDS
+    share = sum(cpu_times) / len(cpu_times) / IDLE_SECONDS
     return (
         f'{size} idle daemons: {share:.2%} of a core each, '
         f'{memory / MEBIBYTE:.0f} MiB'
     )
 
 
-def _messages() -> list[str]:
+def _measure_heartbeats() -> list[str]:
     lines = []
-    for count in MEMBERS:
-        table = [_member(index) for index in range(count)]
-        began = time.perf_counter()
-        wire = [member_to_wire(member) for member in table]
+    for count in MEMBER_COUNTS:
+        members = [_member(index) for index in range(count)]
+        started = time.perf_counter()
+        wire = [member_to_wire(member) for member in members]
         frame = encode(Envelope(call=1, heartbeat=Heartbeat(members=wire)))
         decode(frame[4:])
-        passed = time.perf_counter() - began
+        elapsed = time.perf_counter() - started
         lines.append(
             f'heartbeat of {count} members: {len(frame)} bytes, '
-            f'{passed * MICROSECONDS:.0f} us to write and read',
+            f'{elapsed * US_PER_SECOND:.0f} us to write and read',
         )
     names = [f'entry-{index}' for index in range(54)]
-    began = time.perf_counter()
+    started = time.perf_counter()
     for index in range(100):
         owner(f'slots/{index}', names)
-    passed = (time.perf_counter() - began) / 100
+    elapsed = (time.perf_counter() - started) / 100
     lines.append(
-        f'owner among 54 instances: {passed * MICROSECONDS:.0f} us',
+        f'owner among 54 instances: {elapsed * US_PER_SECOND:.0f} us',
     )
     return lines
 
@@ -103,7 +108,7 @@
     )
 
 
-def _jobs() -> list[str]:
+def _measure_jobs() -> list[str]:
     record = {
         'id': 'x' * 36,
         'client': 'c',
@@ -122,19 +127,21 @@
         'failed': 0,
         'finished': 3.0,
     }
-    text = msgspec.json.encode(record)
+    encoded = msgspec.json.encode(record)
     tracemalloc.start()
     mirror = Mirror()
-    for index in range(JOBS):
+    for index in range(JOB_COUNT):
         mirror.update(
-            MirroredObject(f'jobs/{index}', index, msgspec.json.decode(text))
+            MirroredObject(f'jobs/{index}', index, msgspec.json.decode(encoded))
         )
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return [f'jobs: {used / JOBS:.0f} bytes each, {len(text)} in the store']
+    return [
+        f'jobs: {used / JOB_COUNT:.0f} bytes each, {len(encoded)} in the store'
+    ]
 
 
-def _fleet() -> list[str]:
+def _measure_config() -> list[str]:
     document = {
         'revision': 1,
         'upstreams': {
@@ -144,19 +151,20 @@
                 'kind': 'engine',
                 'slots': 64,
             }
-            for index in range(UPSTREAMS)
+            for index in range(UPSTREAM_COUNT)
         },
         'deployments': {},
         'endpoints': {},
         'clients': {},
     }
-    text = msgspec.json.encode(document)
-    began = time.perf_counter()
+    encoded = msgspec.json.encode(document)
+    started = time.perf_counter()
     problems = validate(document)
-    passed = time.perf_counter() - began
+    elapsed = time.perf_counter() - started
     return [
         (
-            f'configuration of {UPSTREAMS} upstreams: {len(text)} bytes, '
-            f'{passed * 1000:.0f} ms to check, {len(problems)} problems'
+            f'configuration of {UPSTREAM_COUNT} upstreams: '
+            f'{len(encoded)} bytes, {elapsed * 1000:.0f} ms to check, '
+            f'{len(problems)} problems'
         ),
     ]
--- a/benchmarks/core.py
+++ b/benchmarks/core.py
@@ -25,11 +25,11 @@
 
 
 def main() -> None:
-    """Run the measurements that are named, or all of them."""
+    """Run the named measurements, or all; exit with 2 for unknown names."""
     names = sys.argv[1:] or list(MEASUREMENTS)
     unknown = set(names) - set(MEASUREMENTS)
     if unknown:
-        sys.stderr.write(f'no such measurement: {sorted(unknown)}\n')
+        sys.stderr.write(f'unknown measurements: {sorted(unknown)}\n')
         sys.exit(2)
     for name in names:
         with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,4 +1,4 @@
-"""The cost of one entry hop, of streamed tokens, and of open streams."""
+"""The cost of the hop through a daemon, of tokens and of open streams."""
 
 import asyncio
 import os
@@ -8,13 +8,13 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.load import (
-    DIGITS,
-    LONGEST,
-    MICROSECONDS,
+    MAX_LATENCY,
+    SIGNIFICANT_DIGITS,
+    US_PER_SECOND,
     Arrival,
-    Shape,
+    RequestShape,
     Timings,
-    build,
+    build_call,
     drive,
 )
 from gentiantrestle.http.client import ConnectionPool
@@ -23,12 +23,12 @@
 ROUNDS = 600
 OPEN_STREAMS = 200
 TOKENS = 300
-TICKS = os.sysconf('SC_CLK_TCK')
+TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
 MEBIBYTE = 1048576
 
 
 async def measure_hop(folder: Path) -> list[str]:
-    """Compare a call through a daemon with a direct one, in turn."""
+    """Compare calls through a daemon with direct ones, sent alternately."""
     fleet = Fleet(folder, ('a1',))
     fleet.engine_words = ('slots=64', 'step=0.002')
     await fleet.start()
@@ -39,13 +39,13 @@
 
 
 async def _compare(fleet: Fleet) -> list[str]:
-    direct = HdrHistogram(1, LONGEST, DIGITS)
-    through = HdrHistogram(1, LONGEST, DIGITS)
-    shape = Shape('one', 16, 1)
+    direct = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+    through = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
+    shape = RequestShape('one', 16, 1)
     engine = ConnectionPool(fleet.engines[0], 4, 5)
     daemon = ConnectionPool(fleet.http[0], 4, 5)
-    for turn in range(ROUNDS):
-        call = build(Arrival(0, shape, 0, f'hop {turn}'))
+    for number in range(ROUNDS):
+        call = build_call(Arrival(0, shape, 0, f'hop {number}'))
         await _time(engine, call, direct)
         await _time(daemon, call, through)
     lines = []
@@ -62,13 +62,13 @@
 async def _time(
     pool: ConnectionPool, call: object, histogram: HdrHistogram
 ) -> None:
-    began = time.monotonic()
+    started = time.monotonic()
     await pool.fetch(call)
-    histogram.record_value(int((time.monotonic() - began) * MICROSECONDS))
+    histogram.record_value(int((time.monotonic() - started) * US_PER_SECOND))
 
 
 async def measure_tokens(folder: Path) -> list[str]:
-    """Stream many answers through one daemon; count tokens a CPU second."""
+    """Stream answers through one daemon; measure tokens per CPU second."""
     fleet = Fleet(folder, ('a1',))
     fleet.engine_words = (f'slots={OPEN_STREAMS}', 'step=0.012')
     fleet.slots = OPEN_STREAMS
@@ -81,39 +81,40 @@
 
 async def _stream(fleet: Fleet) -> list[str]:
     pid = fleet.daemons[0].child.pid
-    shape = Shape('stream', TOKENS, 1, CLIENT_KEY)
+    shape = RequestShape('stream', TOKENS, 1, CLIENT_KEY)
     plan = [
         Arrival(index * 0.002, shape, 0, f't{index}')
         for index in range(OPEN_STREAMS)
     ]
     timings = Timings()
-    before, began = cpu_seconds(pid), time.monotonic()
-    loaded = asyncio.create_task(drive(fleet.http, plan, timings))
+    before, started = cpu_seconds(pid), time.monotonic()
+    load = asyncio.create_task(drive(fleet.http, plan, timings))
     await asyncio.sleep(2)
-    memory = memory_of(pid)
-    await loaded
-    spent, passed = cpu_seconds(pid) - before, time.monotonic() - began
+    memory = resident_memory(pid)
+    await load
+    cpu_time, elapsed = cpu_seconds(pid) - before, time.monotonic() - started
     tokens = timings.whole * TOKENS
     return [
         (
             f'streams: {timings.whole} whole, {timings.broken} broken, '
-            f'{tokens / passed:.0f} tokens/s for {passed:.1f} s'
+            f'{tokens / elapsed:.0f} tokens/s for {elapsed:.1f} s'
         ),
         (
-            f'tokens for each CPU second of the daemon: {tokens / spent:.0f} '
-            f'(target 6800), CPU share {spent / passed:.2f}'
+            f'tokens for each CPU second of the daemon: '
+            f'{tokens / cpu_time:.0f} (target 6800), '
+            f'CPU share {cpu_time / elapsed:.2f}'
         ),
         f'memory at {OPEN_STREAMS} open streams: {memory / MEBIBYTE:.0f} MiB',
     ]
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU time of a process so far."""
+    """Return the CPU time of a process so far, in seconds."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-def memory_of(pid: int) -> int:
+def resident_memory(pid: int) -> int:
     """Return the resident memory of a process in bytes."""
     pages = Path(f'/proc/{pid}/statm').read_text().split()[1]
     return int(pages) * os.sysconf('SC_PAGE_SIZE')
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests start when they are due, whatever is slow."""
+"""Open-loop load: requests start on schedule, however slow the answers."""
 
 import asyncio
 import random
@@ -20,14 +20,14 @@
 from tests.utils.fleet import CLIENT_KEY
 
 CONNECT_TIMEOUT = 5.0  # seconds
-LONGEST = 120_000_000  # microseconds
-DIGITS = 3
-MICROSECONDS = 1_000_000
+MAX_LATENCY = 120_000_000  # microseconds
+SIGNIFICANT_DIGITS = 3
+US_PER_SECOND = 1_000_000
 DONE = b'data: [DONE]'
 
 
-class Shape(NamedTuple):
-    """One kind of request: answer length and its share of the arrivals."""
+class RequestShape(NamedTuple):
+    """One kind of request: tokens of its answer and weight among arrivals."""
 
     name: str
     tokens: int
@@ -36,56 +36,62 @@
 
 
 class Arrival(NamedTuple):
-    """One request: when it is due, in s, and what it asks."""
+    """One request to send.
+
+    ``due`` is its time of start, in seconds after that of the load, and
+    ``target`` the index of the daemon that gets it.
+    """
 
     due: float
-    shape: Shape
+    shape: RequestShape
     target: int
     prompt: str
 
 
 class Timings:
-    """What the callers of one arm have seen."""
+    """Counts and latencies of requests, as their callers saw them."""
 
     def __init__(self) -> None:
-        """Start without a request."""
+        """Start without requests."""
         self.totals: dict[str, HdrHistogram] = {}
-        self.first = HdrHistogram(1, LONGEST, DIGITS)
+        self.first = HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
         self.whole = 0
         self.refused = 0
         self.broken = 0
 
-    def note(self, name: str, first: float, total: float) -> None:
-        """Note a whole answer; times in s."""
+    def record(self, name: str, first: float, total: float) -> None:
+        """Record a whole answer: times to the first part and the end, in s."""
         histogram = self.totals.setdefault(
             name,
-            HdrHistogram(1, LONGEST, DIGITS),
+            HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS),
         )
-        histogram.record_value(int(total * MICROSECONDS))
-        self.first.record_value(int(first * MICROSECONDS))
+        histogram.record_value(int(total * US_PER_SECOND))
+        self.first.record_value(int(first * US_PER_SECOND))
         self.whole += 1
 
-    def quantile(self, name: str, percent: float) -> float:
-        """Return a quantile of the whole time of a shape, in s."""
-        return self.totals[name].get_value_at_percentile(percent) / MICROSECONDS
+    def percentile(self, name: str, percent: float) -> float:
+        """Return a percentile of the time to the end of an answer, in s."""
+        return (
+            self.totals[name].get_value_at_percentile(percent) / US_PER_SECOND
+        )
 
 
 def arrivals(
     seed: int,
     rate: float,
     seconds: float,
-    shapes: tuple[Shape, ...],
+    shapes: tuple[RequestShape, ...],
     targets: int,
 ) -> Iterator[Arrival]:
-    """Draw Poisson arrivals; the same seed draws the same ones."""
-    draw = random.Random(seed)
-    due = draw.expovariate(rate)
+    """Draw Poisson arrivals, ``rate`` a second; the seed fixes them."""
+    rng = random.Random(seed)
+    due = rng.expovariate(rate)
     count = 0
     while due < seconds:
-        shape = draw.choices(shapes, [one.share for one in shapes])[0]
+        shape = rng.choices(shapes, [kind.share for kind in shapes])[0]
         count += 1
-        yield Arrival(due, shape, draw.randrange(targets), f'{seed}/{count}')
-        due += draw.expovariate(rate)
+        yield Arrival(due, shape, rng.randrange(targets), f'{seed}/{count}')
+        due += rng.expovariate(rate)
 
 
 async def drive(
@@ -93,11 +99,11 @@
     plan: list[Arrival],
     timings: Timings,
 ) -> None:
-    """Send every arrival when it is due, and wait for all answers."""
-    began = time.monotonic()
+    """Send each request when it is due, and wait for all answers."""
+    started = time.monotonic()
     async with asyncio.TaskGroup() as group:
         for arrival in plan:
-            delay = began + arrival.due - time.monotonic()
+            delay = started + arrival.due - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
             address = addresses[arrival.target % len(addresses)]
@@ -109,11 +115,11 @@
     arrival: Arrival,
     timings: Timings,
 ) -> None:
-    began = time.monotonic()
+    started = time.monotonic()
     with suppress(NotSentError):
         conn = await ClientConnection.open(address, CONNECT_TIMEOUT)
         try:
-            await _converse(conn, address, arrival, timings, began)
+            await _exchange(conn, address, arrival, timings, started)
         except ConnectionLostError:
             timings.broken += 1
         finally:
@@ -122,14 +128,14 @@
     timings.broken += 1
 
 
-async def _converse(
+async def _exchange(
     conn: ClientConnection,
     address: Address,
     arrival: Arrival,
     timings: Timings,
-    began: float,
+    started: float,
 ) -> None:
-    answer = await conn.send(build(arrival), str(address))
+    answer = await conn.send(build_call(arrival), str(address))
     if answer.status != 200:
         timings.refused += 1
         await answer.read()
@@ -142,15 +148,15 @@
     if DONE not in tail:
         timings.broken += 1
         return
-    timings.note(
+    timings.record(
         arrival.shape.name,
-        first - began,
-        time.monotonic() - began,
+        first - started,
+        time.monotonic() - started,
     )
 
 
-def build(arrival: Arrival) -> ClientRequest:
-    """Write the call of an arrival."""
+def build_call(arrival: Arrival) -> ClientRequest:
+    """Build the streamed completion call of an arrival."""
     body = msgspec.json.encode(
         {
             'model': 'chat',
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""Harm, blocking, slow upstreams, floods and bursts, as ratios of arms."""
+"""Latency of online requests under strain, burst and routing times."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from pathlib import Path
 from statistics import median
 
-from benchmarks.load import Arrival, Shape, Timings, arrivals, drive
+from benchmarks.load import Arrival, RequestShape, Timings, arrivals, drive
 from gentiantrestle.daemon.upstreams.routing import (
     POLICIES,
     Candidate,
@@ -18,16 +18,16 @@
 from tests.utils.http import until
 
 SEEDS = (1, 2, 3)
-SECONDS = 8.0
+SECONDS = 8.0  # of arrivals in one arm
 ZONES = ('a1', 'a1', 'a1', 'a2', 'a2', 'a2', 'b1', 'b1', 'b1')
 ENGINES = 6
 SLOTS = 16
 RATE = 40.0  # requests a second
-SHORT = Shape('short', 20, 1)
-STRAGGLER = Shape('straggler', 600, 0.03)
+SHORT = RequestShape('short', 20, 1)
+STRAGGLER = RequestShape('straggler', 600, 0.03)
 ENGINE_WORDS = (f'slots={SLOTS}', 'step=0.008')
-MICROSECONDS = 1_000_000
-PRODUCT_FLAGS = (
+US_PER_SECOND = 1_000_000
+DAEMON_FLAGS = (
     '--batch_streams=64',
     '--lease=6',
     '--silence=1.5',
@@ -38,57 +38,60 @@
 
 
 async def start_fleet(folder: Path) -> Fleet:
-    """Start today's size: nine daemons, six engines, one service."""
+    """Start nine daemons, six engines and one service: today's size."""
     fleet = Fleet(folder, ZONES)
     fleet.engines = fleet.engines[:ENGINES]
     fleet.engine_zones = ('a1', 'a1', 'a2', 'a2', 'b1', 'b1')
     fleet.engine_words = ENGINE_WORDS
     fleet.slots = SLOTS
-    fleet.daemon_flags = PRODUCT_FLAGS
+    fleet.daemon_flags = DAEMON_FLAGS
     await fleet.start()
     return fleet
 
 
 async def _compare(
     folder: Path,
-    base: Arm,
-    arm: Arm,
+    baseline: Arm,
+    variant: Arm,
     name: str,
     title: str,
     aim: str,
 ) -> list[str]:
-    """Run two arms on the same arrivals, seed by seed."""
+    """Return the ratios of ``variant`` to ``baseline`` at equal arrivals.
+
+    Both run once for each seed, with the same online arrivals.
+    """
     ratios: dict[float, list[float]] = {50: [], 99: []}
     lines = []
     fleet = await start_fleet(folder)
     try:
         for seed in SEEDS:
-            before = await base(fleet, seed)
-            after = await arm(fleet, seed)
-            for percent, found in ratios.items():
-                found.append(
-                    after.quantile(name, percent)
-                    / before.quantile(name, percent),
+            before = await baseline(fleet, seed)
+            after = await variant(fleet, seed)
+            for percent, measured in ratios.items():
+                measured.append(
+                    after.percentile(name, percent)
+                    / before.percentile(name, percent),
                 )
             lines.append(
-                f'seed {seed}: p99 {before.quantile(name, 99):.3f} s -> '
-                f'{after.quantile(name, 99):.3f} s, whole {before.whole} -> '
+                f'seed {seed}: p99 {before.percentile(name, 99):.3f} s -> '
+                f'{after.percentile(name, 99):.3f} s, whole {before.whole} -> '
                 f'{after.whole}, refused {before.refused} -> {after.refused}',
             )
     finally:
         await fleet.stop()
-    for percent, found in ratios.items():
+    for percent, measured in ratios.items():
         lines.append(
-            f'{title}, p{percent:.0f} ratio: median {median(found):.2f}, '
-            f'from {min(found):.2f} to {max(found):.2f} ({aim})',
+            f'{title}, p{percent:.0f} ratio: median {median(measured):.2f}, '
+            f'from {min(measured):.2f} to {max(measured):.2f} ({aim})',
         )
     return lines
 
 
-async def _online(
+async def _run_online(
     fleet: Fleet,
     seed: int,
-    shapes: tuple[Shape, ...] = (SHORT,),
+    shapes: tuple[RequestShape, ...] = (SHORT,),
     rate: float = RATE,
 ) -> Timings:
     timings = Timings()
@@ -98,15 +101,15 @@
 
 
 async def measure_harm(folder: Path) -> list[str]:
-    """Online p99 with batch work over without, and the batch work done."""
+    """Compare online p99 with and without batch work; add its rate."""
     done: list[int] = []
 
     async def with_batch(fleet: Fleet, seed: int) -> Timings:
         lines = job_lines(20000, 20, prefix=f'b{seed}/')
         job = (await fleet.submit(0, lines, f'harm {seed}')).json()['id']
-        await until(lambda: _has_batch(fleet))
+        await until(lambda: _runs_batch(fleet))
         before = sum((await fleet.engine_tokens()).values())
-        timings = await _online(fleet, seed)
+        timings = await _run_online(fleet, seed)
         after = sum((await fleet.engine_tokens()).values())
         done.append(after - before - timings.whole * SHORT.tokens)
         await fleet.call(0, 'POST', f'/v1/batches/{job}/cancel')
@@ -115,7 +118,7 @@
 
     lines = await _compare(
         folder,
-        _online,
+        _run_online,
         with_batch,
         'short',
         'harm',
@@ -132,19 +135,19 @@
     return lines
 
 
-async def _has_batch(fleet: Fleet) -> bool:
-    return await _engine_batch(fleet) > 0
+async def _runs_batch(fleet: Fleet) -> bool:
+    return await _batch_slots(fleet) > 0
 
 
 async def measure_blocking(folder: Path) -> list[str]:
-    """Short requests' p99 with stragglers in the mix over without."""
+    """Compare short requests' p99 with and without long ones in the mix."""
 
     async def with_stragglers(fleet: Fleet, seed: int) -> Timings:
-        return await _online(fleet, seed, (SHORT, STRAGGLER))
+        return await _run_online(fleet, seed, (SHORT, STRAGGLER))
 
     return await _compare(
         folder,
-        _online,
+        _run_online,
         with_stragglers,
         'short',
         'blocking',
@@ -153,20 +156,20 @@
 
 
 async def measure_slowed(folder: Path) -> list[str]:
-    """Online p99 with one of six engines ten times as slow over none."""
+    """Compare online p99 with and without one engine slowed tenfold."""
 
-    async def with_slow_one(fleet: Fleet, seed: int) -> Timings:
+    async def with_slow_engine(fleet: Fleet, seed: int) -> Timings:
         await fleet.control_engine(0, slow=10)
         try:
-            return await _online(fleet, seed)
+            return await _run_online(fleet, seed)
         finally:
             await fleet.control_engine(0, slow=1)
             await asyncio.sleep(1)
 
     return await _compare(
         folder,
-        _online,
-        with_slow_one,
+        _run_online,
+        with_slow_engine,
         'short',
         'slowed, 1 of 6',
         'aim at p99: 1.5',
@@ -174,20 +177,20 @@
 
 
 async def measure_flood(folder: Path) -> list[str]:
-    """The p99 of other clients while one floods over without a flood."""
-    flood = Shape('flood', 60, 8, OTHER_KEY)
+    """Compare the p99 of a client with and without another's flood."""
+    flood = RequestShape('flood', 60, 8, OTHER_KEY)
 
     async def with_flood(fleet: Fleet, seed: int) -> Timings:
         timings = Timings()
         plan = list(arrivals(seed, RATE, SECONDS, (SHORT,), len(fleet.http)))
         extra = list(arrivals(seed, 150, SECONDS, (flood,), len(fleet.http)))
-        both = sorted([*plan, *extra], key=lambda one: one.due)
-        await drive(fleet.http, both, timings)
+        merged = sorted([*plan, *extra], key=lambda arrival: arrival.due)
+        await drive(fleet.http, merged, timings)
         return timings
 
     return await _compare(
         folder,
-        _online,
+        _run_online,
         with_flood,
         'short',
         'flood',
@@ -196,40 +199,40 @@
 
 
 async def measure_burst(folder: Path) -> list[str]:
-    """Time from an online burst to the last batch slot given back."""
+    """Time from an online burst until batch work has freed enough slots."""
     fleet = await start_fleet(folder)
     lines = []
     try:
         for seed in SEEDS:
-            lines.append(await _burst(fleet, seed))
+            lines.append(await _measure_burst(fleet, seed))
     finally:
         await fleet.stop()
     return lines
 
 
-async def _burst(fleet: Fleet, seed: int) -> str:
-    sent = job_lines(4000, 200, prefix=f'burst{seed}/')
-    job = (await fleet.submit(0, sent, f'burst {seed}')).json()['id']
-    await until(lambda: _has_batch(fleet))
+async def _measure_burst(fleet: Fleet, seed: int) -> str:
+    lines = job_lines(4000, 200, prefix=f'burst{seed}/')
+    job = (await fleet.submit(0, lines, f'burst {seed}')).json()['id']
+    await until(lambda: _runs_batch(fleet))
     await asyncio.sleep(2)
-    batch = await _engine_batch(fleet)
+    batch = await _batch_slots(fleet)
     plan = [
-        Arrival(0, Shape('burst', 200, 1), index, f'u{seed}/{index}')
+        Arrival(0, RequestShape('burst', 200, 1), index, f'u{seed}/{index}')
         for index in range(ENGINES * SLOTS)
     ]
     timings = Timings()
-    began = time.monotonic()
+    started = time.monotonic()
     load = asyncio.create_task(drive(fleet.http, plan, timings))
     while await _overcommitted(fleet):
         await asyncio.sleep(0.005)
-        if time.monotonic() - began > 10:
+        if time.monotonic() - started > 10:
             break
-    passed = time.monotonic() - began
+    elapsed = time.monotonic() - started
     await load
     await fleet.call(0, 'POST', f'/v1/batches/{job}/cancel')
     return (
         f'seed {seed}: {batch} batch slots in use; the last was given back '
-        f'{passed * 1000:.0f} ms after the burst began'
+        f'{elapsed * 1000:.0f} ms after the burst began'
     )
 
 
@@ -239,41 +242,41 @@
     )
 
 
-async def _engine_batch(fleet: Fleet) -> int:
+async def _batch_slots(fleet: Fleet) -> int:
     return sum(
-        one['batch']
+        upstream['batch']
         for status in await _statuses(fleet)
-        for one in status['upstreams']
+        for upstream in status['upstreams']
     )
 
 
 async def _overcommitted(fleet: Fleet) -> bool:
-    """Tell whether the burst is not yet in, or an engine has too much."""
+    """Tell whether the burst is still unseen or an engine over its slots."""
     online: Counter[str] = Counter()
     batch: Counter[str] = Counter()
     for status in await _statuses(fleet):
-        for one in status['upstreams']:
-            online[one['upstream']] += one['online']
-            batch[one['upstream']] += one['batch']
+        for upstream in status['upstreams']:
+            online[upstream['upstream']] += upstream['online']
+            batch[upstream['upstream']] += upstream['batch']
     return not online.total() or any(
         batch[name] and online[name] + batch[name] > SLOTS for name in batch
     )
 
 
 async def measure_decision(folder: Path) -> list[str]:
-    """Microseconds of one routing decision at 350 upstreams."""
-    draw = random.Random(7)
+    """Time of one routing decision among 350 upstreams, for each policy."""
+    rng = random.Random(7)
     candidates = [
         Candidate(
             f'u{index}',
             'z',
             'r',
             64,
-            draw.randrange(8),
-            draw.randrange(40),
-            draw.randrange(8),
+            rng.randrange(8),
+            rng.randrange(40),
+            rng.randrange(8),
             6,
-            1 + draw.random(),
+            1 + rng.random(),
             usable=True,
         )
         for index in range(350)
@@ -281,9 +284,9 @@
     snapshot = Snapshot(candidates, 'z', 'r', 'a prompt', 0.3)
     lines = []
     for name, choose in POLICIES.items():
-        began = time.perf_counter()
+        started = time.perf_counter()
         for _ in range(200):
             choose(snapshot, 0)
-        passed = (time.perf_counter() - began) / 200 * MICROSECONDS
-        lines.append(f'{name}: {passed:.0f} us at 350 upstreams')
+        elapsed = (time.perf_counter() - started) / 200 * US_PER_SECOND
+        lines.append(f'{name}: {elapsed:.0f} us at 350 upstreams')
     return lines
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,4 @@
-"""Store calls, take-over after a death, and configuration changes."""
+"""Store calls, takeover after a crash, and configuration changes."""
 
 import asyncio
 import time
@@ -14,15 +14,15 @@
 
 
 async def measure_store(folder: Path) -> list[str]:
-    """Store writes for 1,000 batch items and for each online request."""
+    """Store calls for 1,000 batch items; writes for 200 online requests."""
     fleet = await start_fleet(folder)
     try:
-        before = await _calls(fleet)
+        before = await _store_calls(fleet)
         job = (await fleet.submit(0, job_lines(ITEMS, 4), 'store')).json()
-        while not await _ended(fleet, job['id']):
+        while not await _is_finished(fleet, job['id']):
             await asyncio.sleep(0.5)
-        after = await _calls(fleet)
-        online = await _calls(fleet)
+        after = await _store_calls(fleet)
+        before_online = await _store_calls(fleet)
         for index in range(200):
             await fleet.call(
                 index % 9,
@@ -34,7 +34,7 @@
                     'max_tokens': 1,
                 },
             )
-        last = await _calls(fleet)
+        after_online = await _store_calls(fleet)
     finally:
         await fleet.stop()
     scale = 1000 / ITEMS
@@ -46,53 +46,59 @@
             for name in names
         )
         + ' (aim: under 20 writes)',
-        f'for 200 online requests: {last["write"] - online["write"]} writes',
+        (
+            f'for 200 online requests: '
+            f'{after_online["write"] - before_online["write"]} writes'
+        ),
     ]
 
 
-async def _calls(fleet: Fleet) -> dict[str, int]:
+async def _store_calls(fleet: Fleet) -> dict[str, int]:
     return (await send(fleet.platform, 'POST', '/control', {})).json()['calls']
 
 
-async def _ended(fleet: Fleet, job: str) -> bool:
+async def _is_finished(fleet: Fleet, job: str) -> bool:
     return (await fleet.job_status(1, job))['status'] != 'running'
 
 
 async def measure_takeover(folder: Path) -> list[str]:
-    """Time from a holder's death until all its chunks run elsewhere."""
+    """Time from the kill of an owner until others own its held chunks."""
     fleet = await start_fleet(folder)
     try:
         job = (await fleet.submit(0, job_lines(60, 600), 'take')).json()
         await asyncio.sleep(1.5)
         victim = await _busiest(fleet)
-        began = time.monotonic()
+        started = time.monotonic()
         await fleet.daemons[victim].end()
         held = [
             name
             for name, record in (await fleet.chunk_records(job['id'])).items()
             if record['owner'] == f'i{victim}' and record['state'] == 'held'
         ]
-        await until(lambda: _moved(fleet, job['id'], held, victim), 60)
-        passed = time.monotonic() - began
+        await until(lambda: _is_taken_over(fleet, job['id'], held, victim), 60)
+        elapsed = time.monotonic() - started
     finally:
         await fleet.stop()
     return [
         (
             f'{len(held)} chunks of a killed holder ran again after '
-            f'{passed:.2f} s (silence 1.5 s, lease 6 s)'
+            f'{elapsed:.2f} s (silence 1.5 s, lease 6 s)'
         ),
     ]
 
 
 async def _busiest(fleet: Fleet) -> int:
     batch = [
-        sum(one['batch'] for one in (await fleet.status(index))['upstreams'])
+        sum(
+            upstream['batch']
+            for upstream in (await fleet.status(index))['upstreams']
+        )
         for index in range(len(fleet.http))
     ]
     return batch.index(max(batch))
 
 
-async def _moved(
+async def _is_taken_over(
     fleet: Fleet,
     job: str,
     held: list[str],
@@ -107,13 +113,13 @@
 
 
 async def measure_config(folder: Path) -> list[str]:
-    """Time from acceptance of a configuration to the last instance."""
+    """Time from an accepted configuration until all instances use it."""
     fleet = await start_fleet(folder)
     times = []
     try:
         for revision in range(1, ROUNDS + 1):
             await fleet.apply(fleet.config_document(revision), revision)
-            began = time.monotonic()
+            started = time.monotonic()
             for index in range(len(fleet.http)):
                 await until(
                     lambda index=index, revision=revision: fleet.has_revision(
@@ -121,7 +127,7 @@
                         revision + 1,
                     ),
                 )
-            times.append(time.monotonic() - began)
+            times.append(time.monotonic() - started)
     finally:
         await fleet.stop()
     return [
--- a/standins/core.py
+++ b/standins/core.py
@@ -23,17 +23,17 @@
 
 
 class Standin(Protocol):
-    """What each stand-in offers."""
+    """The interface of a stand-in."""
 
     @classmethod
     def from_config(cls, cfg: Mapping[str, str]) -> 'Standin':
-        """Build from the ``K=V`` words of the command line."""
+        """Build from the ``KEY=VALUE`` arguments of the command line."""
 
     async def handle(self, req: Request) -> Response:
         """Answer one request."""
 
     async def run(self) -> None:
-        """Do the work that goes on beside requests."""
+        """Run the background work until cancelled."""
 
 
 KINDS: dict[str, type[Standin]] = {
@@ -46,7 +46,7 @@
 
 
 async def serve(kind: str, port: int, cfg: Mapping[str, str]) -> None:
-    """Run one stand-in until it is told to stop."""
+    """Run one stand-in until SIGTERM or SIGINT."""
     standin = KINDS[kind].from_config(cfg)
     server = Server(standin.handle, ServerLimits(idle_timeout=IDLE_TIMEOUT))
     await server.start(HOST, port)
@@ -54,19 +54,22 @@
     loop = asyncio.get_running_loop()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stopped.set)
-    work = asyncio.create_task(standin.run())
+    background = asyncio.create_task(standin.run())
     await stopped.wait()
-    work.cancel()
+    background.cancel()
     await server.stop(0)
 
 
 def main() -> None:
-    """Read the command line and serve."""
+    """Parse the command line and serve.
+
+    Exit with status 2 if KIND is unknown or PORT is missing.
+    """
     if len(sys.argv) < FIRST_OPTION or sys.argv[1] not in KINDS:
         sys.stderr.write(USAGE)
         sys.exit(2)
     events.configure('WARNING', as_json=False)
-    cfg = dict(word.split('=', 1) for word in sys.argv[FIRST_OPTION:])
+    cfg = dict(option.split('=', 1) for option in sys.argv[FIRST_OPTION:])
     asyncio.run(serve(sys.argv[1], int(sys.argv[2]), cfg))
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine that batches continuously."""
+"""Stand-in for a model engine with continuous batching."""
 
 import asyncio
 import time
@@ -20,18 +20,24 @@
 MAX_BODY = 16777216  # bytes
 DEFAULT_TOKENS = 16
 VOCABULARY = 1000
-REPORT_LAG = 1.0  # seconds
-OCCUPANCY_COST = 1.0
+LOAD_LAG = 1.0  # seconds until /load shows a sample
+OCCUPANCY_COST = 1.0  # extra time of a step with all slots in use, in steps
 PREFIX_LENGTH = 64  # characters
 DONE = b'data: [DONE]\n\n'
 POISON = 'poison'
-BROKEN = HTTPStatus.INTERNAL_SERVER_ERROR
-OLD_FENCE = HTTPStatus.CONFLICT
+ENGINE_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR
+STALE_TOKEN = HTTPStatus.CONFLICT
 COMPLETIONS = frozenset(('/v1/completions', '/v1/chat/completions'))
 
 
 class EngineConfig(NamedTuple):
-    """Size and speed of the engine."""
+    """Size and speed of the engine.
+
+    ``step`` is the time of a step with an empty batch, and ``prefill`` the
+    time for each character of a prompt whose prefix isn't cached, both in
+    seconds. With ``checks_fencing``, orders with a stale fencing token are
+    refused.
+    """
 
     slots: int = 16
     step: float = 0.005
@@ -40,10 +46,10 @@
     checks_fencing: bool = True
 
 
-class Report(NamedTuple):
-    """Load at a time, told only after a while."""
+class LoadSample(NamedTuple):
+    """Load at a monotonic time; ``/load`` shows it ``LOAD_LAG`` later."""
 
-    at: float
+    sampled_at: float
     load: dict[str, int]
 
 
@@ -51,46 +57,51 @@
     """One request inside the engine."""
 
     def __init__(self, body: Mapping[str, Any]) -> None:
-        """Take prompt and length; resume after the tokens that are known."""
+        """Read the request; token ``resume_from`` is the first one made."""
         self.prompt = _prompt(body)
-        self.wanted = int(body.get('max_tokens', DEFAULT_TOKENS))
+        self.max_tokens = int(body.get('max_tokens', DEFAULT_TOKENS))
         self.produced = int(body.get('resume_from', 0))
-        self.ready = float(0)
+        self.ready_at = float(0)
         self.cancelled = False
         self.tokens: asyncio.Queue[int | None] = asyncio.Queue()
 
     def step(self) -> bool:
-        """Make one token; tell whether the stream goes on."""
+        """Produce one token; return whether more are to come."""
         if self.cancelled:
             return False
-        if self.produced < self.wanted:
+        if self.produced < self.max_tokens:
             self.tokens.put_nowait(self.produced)
             self.produced += 1
-        if self.produced >= self.wanted:
+        if self.produced >= self.max_tokens:
             self.tokens.put_nowait(None)
             return False
         return True
 
 
 class EngineStandin:
-    """Admits requests as they come and steps all of them together."""
+    """Queues requests for free slots and steps the running ones together.
+
+    ``POST /control`` sets the faults: ``slow`` multiplies the time of a step,
+    ``cut_after`` cuts each stream after so many tokens, and ``leaving``, an
+    incarnation, makes the engine refuse requests with ``X-Leaving``.
+    """
 
     def __init__(self, cfg: EngineConfig) -> None:
         """Start with an empty batch and a cold cache."""
         self._cfg = cfg
-        self._slow = 1.0
+        self._slowdown = 1.0
         self._running: list[Stream] = []
         self._waiting: deque[Stream] = deque()
         self._arrived = asyncio.Event()
         self._prefixes: OrderedDict[int, None] = OrderedDict()
-        self._reports: deque[Report] = deque()
+        self._load_samples: deque[LoadSample] = deque()
         self._runs: Counter[str] = Counter()
-        self._fence = 0
-        self._made = 0
+        self._fencing_token = 0
+        self._stream_steps = 0
         self._refused = 0
         self._orders: list[dict[str, Any]] = []
         self._cut_after: int | None = None
-        self._leaving: int | None = None
+        self._leaving_incarnation: int | None = None
 
     @classmethod
     def from_config(cls, cfg: Mapping[str, str]) -> 'EngineStandin':
@@ -110,40 +121,40 @@
         )
 
     async def run(self) -> None:
-        """Step the running batch for ever."""
+        """Step the running batch until cancelled."""
         while True:
             if not self._running and not self._waiting:
                 self._arrived.clear()
                 await self._arrived.wait()
             self._admit()
-            share = len(self._running) / self._cfg.slots
-            pace = self._cfg.step * (1 + OCCUPANCY_COST * share)
-            await asyncio.sleep(pace * self._slow)
+            occupancy = len(self._running) / self._cfg.slots
+            step_time = self._cfg.step * (1 + OCCUPANCY_COST * occupancy)
+            await asyncio.sleep(step_time * self._slowdown)
             now = time.monotonic()
-            self._made += len(self._running)
+            self._stream_steps += len(self._running)
             self._running = [
                 stream
                 for stream in self._running
-                if stream.ready > now or stream.step()
+                if stream.ready_at > now or stream.step()
             ]
-            self._report(now)
+            self._add_load_sample(now)
 
     async def handle(self, req: Request) -> Response:
-        """Answer one call."""
+        """Answer one request."""
         if req.path in COMPLETIONS:
             chat = req.path.startswith('/v1/chat')
             return await self._complete(await req.read_json(MAX_BODY), chat)
         if req.path == '/control':
             return await self._control(req)
         if req.path == '/orders':
-            return self._order(await req.read_json(MAX_BODY))
+            return self._accept_order(await req.read_json(MAX_BODY))
         if req.path == '/load':
-            return json_response(self._lagging_load())
+            return json_response(self._delayed_load())
         return json_response(
             {
                 'runs': self._runs,
                 'orders': self._orders,
-                'made': self._made,
+                'made': self._stream_steps,
                 'refused': self._refused,
             }
         )
@@ -152,45 +163,47 @@
         while self._waiting and len(self._running) < self._cfg.slots:
             stream = self._waiting.popleft()
             if not stream.cancelled:
-                stream.ready = time.monotonic() + self._prefill(stream)
+                stream.ready_at = time.monotonic() + self._prefill(stream)
                 self._running.append(stream)
 
     def _prefill(self, stream: Stream) -> float:
         prefix = xxhash.xxh64_intdigest(
             stream.prompt[:PREFIX_LENGTH].encode(),
         )
-        known = prefix in self._prefixes
+        cached = prefix in self._prefixes
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         if len(self._prefixes) > self._cfg.cached_prefixes:
             self._prefixes.popitem(last=False)
-        return 0 if known else self._cfg.prefill * len(stream.prompt)
+        return 0 if cached else self._cfg.prefill * len(stream.prompt)
 
     async def _complete(
         self,
         body: Mapping[str, Any],
         chat: bool,
     ) -> Response:
-        if self._leaving is not None:
+        if self._leaving_incarnation is not None:
             self._refused += 1
-            mark = (('X-Leaving', str(self._leaving)),)
+            leaving_header = (('X-Leaving', str(self._leaving_incarnation)),)
             return Response(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 b'{}',
-                headers=mark,
+                headers=leaving_header,
             )
         stream = Stream(body)
         self._runs[stream.prompt] += 1
         if POISON in stream.prompt:
-            return json_response({'error': 'this prompt never works'}, BROKEN)
+            return json_response(
+                {'error': 'prompt contains the word poison'}, ENGINE_ERROR
+            )
         self._waiting.append(stream)
         self._arrived.set()
         if body.get('stream'):
             return Response(
                 HTTPStatus.OK, self._events(stream, chat), EVENT_STREAM
             )
-        text = [part async for part in _texts(stream)]
-        return json_response(_describe(''.join(text), len(text), chat))
+        text = [part async for part in _token_texts(stream)]
+        return json_response(_completion_document(''.join(text), len(text), chat))
 
     async def _events(
         self,
@@ -199,11 +212,15 @@
     ) -> AsyncIterator[bytes]:
         sent = 0
         try:
-            async for text in _texts(stream):
+            async for text in _token_texts(stream):
                 if sent == self._cut_after:
-                    raise ConnectionResetError('cut as asked')
+                    raise ConnectionResetError(
+                        'stream cut by the cut_after fault'
+                    )
                 sent += 1
-                chunk = msgspec.json.encode(_describe(text, 1, chat, 'delta'))
+                chunk = msgspec.json.encode(
+                    _completion_document(text, 1, chat, 'delta')
+                )
                 yield b'data: %b\n\n' % chunk
             yield DONE
         finally:
@@ -211,32 +228,34 @@
 
     async def _control(self, req: Request) -> Response:
         body = await req.read_json(MAX_BODY)
-        self._slow = float(body.get('slow', self._slow))
+        self._slowdown = float(body.get('slow', self._slowdown))
         self._cut_after = body.get('cut_after', self._cut_after)
-        self._leaving = body.get('leaving', self._leaving)
-        return json_response({'slow': self._slow})
-
-    def _order(self, order: dict[str, Any]) -> Response:
-        fence = int(order['fence'])
-        if self._cfg.checks_fencing and fence < self._fence:
-            return json_response({'error': 'old fencing number'}, OLD_FENCE)
-        self._fence = fence
+        self._leaving_incarnation = body.get(
+            'leaving', self._leaving_incarnation
+        )
+        return json_response({'slow': self._slowdown})
+
+    def _accept_order(self, order: dict[str, Any]) -> Response:
+        fencing_token = int(order['fence'])
+        if self._cfg.checks_fencing and fencing_token < self._fencing_token:
+            return json_response({'error': 'stale fencing token'}, STALE_TOKEN)
+        self._fencing_token = fencing_token
         self._orders.append(order)
         return json_response({'accepted': True})
 
-    def _report(self, now: float) -> None:
+    def _add_load_sample(self, now: float) -> None:
         load = {'running': len(self._running), 'waiting': len(self._waiting)}
-        self._reports.append(Report(now, load))
+        self._load_samples.append(LoadSample(now, load))
 
-    def _lagging_load(self) -> dict[str, int]:
-        horizon = time.monotonic() - REPORT_LAG
+    def _delayed_load(self) -> dict[str, int]:
+        cutoff = time.monotonic() - LOAD_LAG
         load = {'running': 0, 'waiting': 0}
-        while self._reports and self._reports[0].at <= horizon:
-            load = self._reports.popleft().load
+        while self._load_samples and self._load_samples[0].sampled_at <= cutoff:
+            load = self._load_samples.popleft().load
         return load
 
 
-async def _texts(stream: Stream) -> AsyncIterator[str]:
+async def _token_texts(stream: Stream) -> AsyncIterator[str]:
     while True:
         index = await stream.tokens.get()
         if index is None:
@@ -245,7 +264,7 @@
 
 
 def token_text(prompt: str, index: int) -> str:
-    """Return the token at ``index`` of the answer to ``prompt``."""
+    """Return token ``index`` of the answer to ``prompt``, always the same."""
     word = xxhash.xxh32_intdigest(f'{index}/{prompt}'.encode())
     word %= VOCABULARY
     return f' w{word}'
@@ -256,7 +275,7 @@
     return '\n'.join([str(body.get('prompt', '')), *texts]).strip()
 
 
-def _describe(
+def _completion_document(
     text: str,
     count: int,
     chat: bool,
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' object store: kinds, revisions, watches, faults."""
+"""Stand-in for the object store of the users' platform, with faults."""
 
 import asyncio
 from collections import deque
@@ -15,7 +15,7 @@
 STATUS = 'status'
 GONE = HTTPStatus.GONE
 CONFLICT = HTTPStatus.CONFLICT
-REFUSED = HTTPStatus.SERVICE_UNAVAILABLE
+UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 
 
 Key = tuple[str, str]
@@ -24,28 +24,34 @@
 
 
 class ObjectsStandin:
-    """Objects by kind and name under one revision; ``/control`` harms it."""
+    """Objects by kind and name, with one revision counter for all.
+
+    ``POST /control`` replaces the faults: ``down`` refuses each call, ``slow``
+    delays each by some seconds, ``lose`` holds back the answers of so many
+    writes for ``silence`` seconds after they took effect, and ``compact``
+    forgets the changes so far, so that older watches get 410.
+    """
 
     def __init__(self) -> None:
-        """Start empty and sound."""
-        self._found: dict[Key, Document] = {}
+        """Start without objects and faults."""
+        self._documents: dict[Key, Document] = {}
         self._history: deque[Change] = deque()
         self._revision = 1
-        self._oldest = 1
+        self._compacted_revision = 1
         self._changed = asyncio.Condition()
         self._faults: dict[str, Any] = {}
         self._calls: list[str] = []
 
     @classmethod
     def from_config(cls, cfg: Mapping[str, str]) -> 'ObjectsStandin':
-        """Build; there are no options."""
+        """Build the stand-in; it has no options."""
         return cls()
 
     async def run(self) -> None:
-        """Do nothing beside requests."""
+        """Return at once; there is no background work."""
 
     async def handle(self, req: Request) -> Response:
-        """Answer one call."""
+        """Answer one request."""
         if req.path == '/control':
             self._faults = await req.read_json(MAX_BODY)
             if self._faults.pop('compact', False):
@@ -55,7 +61,7 @@
             return json_response(self._calls)
         self._calls.append(f'{req.method} {req.path}')
         if self._faults.get('down'):
-            return json_response({}, REFUSED)
+            return json_response({}, UNAVAILABLE)
         await asyncio.sleep(self._faults.get('slow', 0))
         answer = await self._dispatch(req)
         if req.method != 'GET' and self._faults.get('lose', 0) > 0:
@@ -65,20 +71,20 @@
 
     async def _dispatch(self, req: Request) -> Response:
         kind, _, rest = req.path.removeprefix(ROOT).partition('/')
-        name, _, part = rest.partition('/')
+        name, _, subresource = rest.partition('/')
         if req.method == 'GET' and name:
-            return self._answer((kind, name))
+            return self._get((kind, name))
         if req.method == 'GET':
             return await self._list(kind, dict(req.query))
         if req.method == 'DELETE':
             return await self._delete((kind, name))
-        told = await req.read_json(MAX_BODY)
+        document = await req.read_json(MAX_BODY)
         if req.method == 'POST':
-            return await self._create(kind, told)
-        return await self._put((kind, name), told, part == STATUS)
+            return await self._create(kind, document)
+        return await self._put((kind, name), document, subresource == STATUS)
 
-    def _answer(self, key: tuple[str, str]) -> Response:
-        found = self._found.get(key)
+    def _get(self, key: tuple[str, str]) -> Response:
+        found = self._documents.get(key)
         if found is None:
             return json_response({}, HTTPStatus.NOT_FOUND)
         return json_response(found)
@@ -86,63 +92,69 @@
     async def _list(self, kind: str, query: dict[str, str]) -> Response:
         if 'watch' in query:
             return await self._watch(kind, query)
-        found = [
-            one for key, one in sorted(self._found.items()) if key[0] == kind
+        documents = [
+            document
+            for key, document in sorted(self._documents.items())
+            if key[0] == kind
         ]
         return json_response(
-            {'items': found, 'has-more': False, 'as-of': self._revision},
+            {'items': documents, 'has-more': False, 'as-of': self._revision},
         )
 
     async def _watch(self, kind: str, query: dict[str, str]) -> Response:
         after = int(query['watch'])
-        if after < self._oldest:
+        if after < self._compacted_revision:
             return json_response({}, GONE)
         wait = int(query.get('wait-ms', 0)) / 1000
         try:
             async with asyncio.timeout(wait), self._changed:
-                await self._changed.wait_for(lambda: self._since(kind, after))
+                await self._changed.wait_for(
+                    lambda: self._changes_after(kind, after)
+                )
         except TimeoutError:
             return json_response({'events': [], 'as-of': self._revision})
-        found = self._since(kind, after)
-        return json_response({'events': found, 'as-of': self._revision})
+        changes = self._changes_after(kind, after)
+        return json_response({'events': changes, 'as-of': self._revision})
 
-    def _since(self, kind: str, after: int) -> list[dict[str, Any]]:
+    def _changes_after(self, kind: str, after: int) -> list[dict[str, Any]]:
         return [
-            {'object': one, 'deleted': deleted}
-            for revision, changed, one, deleted in self._history
-            if revision > after and changed == kind
+            {'object': document, 'deleted': deleted}
+            for revision, changed_kind, document, deleted in self._history
+            if revision > after and changed_kind == kind
         ]
 
-    async def _create(self, kind: str, told: dict[str, Any]) -> Response:
-        key = (kind, told['metadata']['name'])
-        known = self._found.get(key)
-        if known is not None:
-            return json_response(known, CONFLICT)
-        fresh = {'metadata': {}, 'spec': told.get('spec'), STATUS: None}
-        await self._store(key, fresh)
-        return json_response(self._found[key], HTTPStatus.CREATED)
+    async def _create(self, kind: str, document: dict[str, Any]) -> Response:
+        key = (kind, document['metadata']['name'])
+        existing = self._documents.get(key)
+        if existing is not None:
+            return json_response(existing, CONFLICT)
+        created = {'metadata': {}, 'spec': document.get('spec'), STATUS: None}
+        await self._store(key, created)
+        return json_response(self._documents[key], HTTPStatus.CREATED)
 
     async def _put(
-        self, key: tuple[str, str], told: dict[str, Any], is_status: bool
+        self, key: tuple[str, str], document: dict[str, Any], is_status: bool
     ) -> Response:
-        found = self._found.get(key)
-        if found is None:
+        existing = self._documents.get(key)
+        if existing is None:
             return json_response({}, HTTPStatus.NOT_FOUND)
-        wanted = told.get('metadata', {}).get('revision')
-        if wanted not in {None, found['metadata']['revision']}:
-            return json_response(found, CONFLICT)
+        expected = document.get('metadata', {}).get('revision')
+        if expected not in {None, existing['metadata']['revision']}:
+            return json_response(existing, CONFLICT)
         field = STATUS if is_status else 'spec'
-        if found[field] != told[field]:
-            await self._store(key, {**found, field: told[field]})
-        return json_response(self._found[key])
+        if existing[field] != document[field]:
+            await self._store(key, {**existing, field: document[field]})
+        return json_response(self._documents[key])
 
     async def _delete(self, key: tuple[str, str]) -> Response:
-        found = self._found.pop(key, None)
+        found = self._documents.pop(key, None)
         if found is not None:
-            await self._note(key, found, deleted=True)
+            await self._record_change(key, found, deleted=True)
         return json_response({})
 
-    async def _store(self, key: tuple[str, str], one: dict[str, Any]) -> None:
+    async def _store(
+        self, key: tuple[str, str], document: dict[str, Any]
+    ) -> None:
         metadata = {
             'name': key[1],
             'revision': self._revision + 1,
@@ -150,20 +162,20 @@
             'finalizers': [],
             'deleting': False,
         }
-        self._found[key] = {**one, 'metadata': metadata}
-        await self._note(key, self._found[key], deleted=False)
+        self._documents[key] = {**document, 'metadata': metadata}
+        await self._record_change(key, self._documents[key], deleted=False)
 
-    async def _note(
-        self, key: tuple[str, str], one: dict[str, Any], *, deleted: bool
+    async def _record_change(
+        self, key: tuple[str, str], document: dict[str, Any], *, deleted: bool
     ) -> None:
         self._revision += 1
-        copy = msgspec.json.decode(msgspec.json.encode(one))
-        copy['metadata']['revision'] = self._revision
-        self._history.append((self._revision, key[0], copy, deleted))
+        snapshot = msgspec.json.decode(msgspec.json.encode(document))
+        snapshot['metadata']['revision'] = self._revision
+        self._history.append((self._revision, key[0], snapshot, deleted))
         async with self._changed:
             self._changed.notify_all()
 
     async def _compact(self) -> None:
         self._history.clear()
         self._revision += 1
-        self._oldest = self._revision
+        self._compacted_revision = self._revision
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object API, with faults to switch on."""
+"""Stand-in for the object API of the platform, with faults."""
 
 import asyncio
 from collections import Counter
@@ -11,49 +11,54 @@
 from gentiantrestle.http.connection import ConnectionClosedError
 from gentiantrestle.http.messages import JSON, Request, Response, json_response
 
-MAX_VALUE = 1024 * 1024  # bytes
+MAX_BODY = 1024 * 1024  # bytes
 MAX_WAIT = 30.0  # seconds
 ROOT = '/v1/objects'
 VERSION = 'X-Version'
 
 
-class Stored(NamedTuple):
-    """One object; an empty body means that it was deleted."""
+class StoredObject(NamedTuple):
+    """One object; an empty body means that it is deleted."""
 
     version: int
     body: bytes
 
 
 class Faults:
-    """Switches for outage, slowness and lost answers."""
+    """Faults that ``POST /control`` sets by name.
+
+    ``outage`` drops all calls, ``delay`` holds each back by some seconds,
+    ``lose`` drops the answers of so many writes after they took effect, and
+    ``cut_zones`` drops the calls that come from these zones.
+    """
 
     def __init__(self) -> None:
-        """Start with no fault."""
+        """Start without faults."""
         self.outage = False
         self.delay = float(0)
         self.lose = 0
         self.cut_zones: list[str] = []
 
-    async def before(self, req: Request) -> None:
-        """Delay the call, or drop it."""
+    async def before_call(self, req: Request) -> None:
+        """Delay the call, or raise ``ClosedError`` to drop it."""
         if self.outage or req.headers.get('x-zone') in self.cut_zones:
-            raise ConnectionClosedError('outage')
+            raise ConnectionClosedError('call dropped by the outage or cut_zones fault')
         if self.delay:
             await asyncio.sleep(self.delay)
 
-    def after(self) -> None:
-        """Lose the answer of a write that has taken effect."""
+    def after_write(self) -> None:
+        """Raise ``ClosedError`` to drop the answer of a finished write."""
         if self.lose > 0:
             self.lose -= 1
-            raise ConnectionClosedError('answer lost')
+            raise ConnectionClosedError('answer dropped by the lose fault')
 
 
 class PlatformStandin:
     """Versioned objects with conditional updates and watches."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._stored: dict[str, Stored] = {}
+        """Start without objects."""
+        self._stored_objects: dict[str, StoredObject] = {}
         self._revision = 0
         self._changed = asyncio.Condition()
         self._faults = Faults()
@@ -65,14 +70,14 @@
         return cls()
 
     async def run(self) -> None:
-        """Nothing goes on beside the requests."""
+        """Wait until cancelled; there is no background work."""
         await asyncio.Event().wait()
 
     async def handle(self, req: Request) -> Response:
-        """Answer one call."""
+        """Answer one request."""
         if req.path == '/control':
             return await self._control(req)
-        await self._faults.before(req)
+        await self._faults.before_call(req)
         if req.path == '/v1/watch':
             self._calls['watch'] += 1
             return await self._watch(req)
@@ -88,18 +93,18 @@
 
     async def _control(self, req: Request) -> Response:
         if req.method == 'POST':
-            for name, setting in (await req.read_json(MAX_VALUE)).items():
+            for name, setting in (await req.read_json(MAX_BODY)).items():
                 setattr(self._faults, name, setting)
         return json_response(
             {
                 'calls': self._calls,
                 'revision': self._revision,
-                'objects': len(self._stored),
+                'objects': len(self._stored_objects),
             }
         )
 
     def _get(self, name: str) -> Response:
-        stored = self._stored.get(name)
+        stored = self._stored_objects.get(name)
         if stored is None or not stored.body:
             return Response(HTTPStatus.NOT_FOUND)
         return _answer_version(HTTPStatus.OK, stored)
@@ -107,26 +112,28 @@
     async def _write(self, name: str, req: Request) -> Response:
         body = b''
         if req.method == 'PUT':
-            body = await req.read(MAX_VALUE)
-        stored = self._stored.get(name)
+            body = await req.read(MAX_BODY)
+        stored = self._stored_objects.get(name)
         if not _condition_holds(req.headers, stored):
             return _answer_version(
-                HTTPStatus.PRECONDITION_FAILED, stored or Stored(0, b'')
+                HTTPStatus.PRECONDITION_FAILED, stored or StoredObject(0, b'')
             )
         self._revision += 1
-        written = Stored(self._revision, body)
-        self._stored[name] = written
+        written = StoredObject(self._revision, body)
+        self._stored_objects[name] = written
         async with self._changed:
             self._changed.notify_all()
-        self._faults.after()
-        return _answer_version(HTTPStatus.OK, Stored(written.version, b''))
+        self._faults.after_write()
+        return _answer_version(
+            HTTPStatus.OK, StoredObject(written.version, b'')
+        )
 
     def _list(self, req: Request, after: int) -> dict[str, object]:
         prefixes = tuple(req.query_values('prefix')) or ('',)
         with_bodies = 'values' in dict(req.query)
         names = sorted(
             name
-            for name, stored in self._stored.items()
+            for name, stored in self._stored_objects.items()
             if stored.version > after
             and name.startswith(prefixes)
             and (stored.body or after)
@@ -134,7 +141,7 @@
         return {
             'revision': self._revision,
             'objects': [
-                _describe(name, self._stored[name], with_bodies)
+                _listed_object(name, self._stored_objects[name], with_bodies)
                 for name in names
             ],
         }
@@ -154,21 +161,23 @@
                     listed = self._list(req, after)
         except TimeoutError:
             listed['revision'] = self._revision
-        await self._faults.before(req)
+        await self._faults.before_call(req)
         return json_response(listed)
 
 
-def _condition_holds(headers: Mapping[str, str], stored: Stored | None) -> bool:
+def _condition_holds(
+    headers: Mapping[str, str], stored: StoredObject | None
+) -> bool:
     exists = stored is not None and bool(stored.body)
     if headers.get('if-none-match') == '*':
         return not exists
-    wanted = headers.get('if-match')
-    if wanted is None:
+    expected = headers.get('if-match')
+    if expected is None:
         return True
-    return exists and stored.version == int(wanted)
+    return exists and stored.version == int(expected)
 
 
-def _answer_version(status: int, stored: Stored) -> Response:
+def _answer_version(status: int, stored: StoredObject) -> Response:
     return Response(
         status,
         stored.body,
@@ -177,7 +186,9 @@
     )
 
 
-def _describe(name: str, stored: Stored, with_body: bool) -> dict[str, object]:
+def _listed_object(
+    name: str, stored: StoredObject, with_body: bool
+) -> dict[str, object]:
     described: dict[str, object] = {'name': name, 'version': stored.version}
     if not stored.body:
         described['deleted'] = True
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls may not be repeated."""
+"""Stand-in for a plain service whose requests must not run twice."""
 
 import asyncio
 from collections import Counter
@@ -11,12 +11,16 @@
 
 
 class ServiceStandin:
-    """Counts each call by its body; a doubled call shows."""
+    """Counts the runs of each request body, so that tests see doubled ones.
+
+    ``POST /control`` sets the faults: ``delay``, in seconds, and ``drop``,
+    which closes the connection after the run instead of answering.
+    """
 
     def __init__(self, delay: float) -> None:
         """Answer after ``delay`` seconds."""
         self._delay = delay
-        self._drop = False
+        self._drop_answers = False
         self._counts: Counter[str] = Counter()
 
     @classmethod
@@ -25,21 +29,21 @@
         return cls(float(cfg.get('delay', '0.002')))
 
     async def run(self) -> None:
-        """Nothing goes on beside the requests."""
+        """Wait until cancelled; there is no background work."""
         await asyncio.Event().wait()
 
     async def handle(self, req: Request) -> Response:
-        """Run a call, or show the counts."""
+        """Run a request, show the counts, or set faults."""
         if req.path == '/stats':
             return json_response({'runs': self._counts})
         if req.path == '/control':
             body = await req.read_json(MAX_BODY)
-            self._drop = bool(body.get('drop', self._drop))
+            self._drop_answers = bool(body.get('drop', self._drop_answers))
             self._delay = float(body.get('delay', self._delay))
             return json_response({})
         body = await req.read(MAX_BODY)
         self._counts[body.decode()] += 1
         await asyncio.sleep(self._delay)
-        if self._drop:
-            raise ConnectionClosedError('dropped as asked')
+        if self._drop_answers:
+            raise ConnectionClosedError('answer dropped by the drop fault')
         return json_response({'path': req.path, 'run': self._counts.total()})
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' servers: streams, plain answers, and faults."""
+"""Stand-in for an upstream of the users, with faults."""
 
 import asyncio
 import sys
@@ -22,10 +22,19 @@
 
 
 class UpstreamStandin:
-    """Runs what it is asked and remembers it; ``/control`` harms it."""
+    """Answers requests and keeps a record of each run.
+
+    The body of a request is a JSON object: ``events`` asks for a stream of
+    so many events, ``pause`` seconds apart, and ``poison`` for status 422.
+
+    ``POST /control`` replaces the faults: ``shed`` refuses each request,
+    ``fail`` answers 500, ``silent`` delays each answer by some seconds,
+    ``cut_after`` cuts each stream after so many events, and ``answer_as``
+    answers with another attempt id.
+    """
 
     def __init__(self, name: str, slots: int) -> None:
-        """Serve as the instance ``name``."""
+        """Serve as instance ``name``; shed requests while all slots stream."""
         self._name = name
         self._slots = slots
         self._running = 0
@@ -38,10 +47,10 @@
         return cls(cfg['name'], int(cfg.get('slots', '8')))
 
     async def run(self) -> None:
-        """Do nothing beside requests."""
+        """Return at once; there is no background work."""
 
     async def handle(self, req: Request) -> Response:
-        """Answer one request, as the faults in force say."""
+        """Answer one request, subject to the faults that are set."""
         if req.path == '/control':
             self._faults = await req.read_json(MAX_BODY)
             return json_response({})
@@ -50,17 +59,19 @@
         return await self._serve(req, await req.read(MAX_BODY))
 
     async def _serve(self, req: Request, body: bytes) -> Response:
-        request_id = req.headers.get('x-attempt-id', '')
+        attempt_id = req.headers.get('x-attempt-id', '')
         if req.headers.get('x-expect-instance') != self._name:
             return Response(HTTPStatus.MISDIRECTED_REQUEST)
         if self._running >= self._slots or self._faults.get('shed'):
-            mark = (('X-Not-Executed', '1'),)
-            return Response(HTTPStatus.SERVICE_UNAVAILABLE, headers=mark)
-        told = msgspec.json.decode(body or b'{}')
-        first = int(req.headers.get('last-event-id', '0'))
+            not_executed = (('X-Not-Executed', '1'),)
+            return Response(
+                HTTPStatus.SERVICE_UNAVAILABLE, headers=not_executed
+            )
+        payload = msgspec.json.decode(body or b'{}')
+        last_event = int(req.headers.get('last-event-id', '0'))
         run = {
-            'id': request_id,
-            'last': first,
+            'id': attempt_id,
+            'last': last_event,
             'path': req.path,
             'body': body.decode('latin-1'),
             'at': time.time(),
@@ -69,37 +80,39 @@
             'active': False,
         }
         self._runs.append(run)
-        _log(run)
+        _print_run(run)
         if self._faults.get('silent'):
             await asyncio.sleep(self._faults['silent'])
-        return self._answer(told, run)
+        return self._answer(payload, run)
 
-    def _answer(self, told: dict[str, Any], run: dict[str, Any]) -> Response:
-        answered = self._faults.get('answer_as', run['id'])
-        marks = (('X-Attempt-Id', answered), ('X-Server-Stamp', 'stamp'))
-        if told.get(POISON):
+    def _answer(self, payload: dict[str, Any], run: dict[str, Any]) -> Response:
+        answered_id = self._faults.get('answer_as', run['id'])
+        headers = (('X-Attempt-Id', answered_id), ('X-Server-Stamp', 'stamp'))
+        if payload.get(POISON):
             status = HTTPStatus.UNPROCESSABLE_ENTITY
-            return Response(status, b'{}', headers=marks)
+            return Response(status, b'{}', headers=headers)
         if self._faults.get('fail'):
             status = HTTPStatus.INTERNAL_SERVER_ERROR
-            return Response(status, b'{}', headers=marks)
-        if 'events' not in told:
+            return Response(status, b'{}', headers=headers)
+        if 'events' not in payload:
             run['done'] = True
-            return Response(HTTPStatus.OK, b'plain', headers=marks)
-        events = self._events(told, run)
-        return Response(HTTPStatus.OK, events, EVENT_STREAM, marks)
+            return Response(HTTPStatus.OK, b'plain', headers=headers)
+        events = self._events(payload, run)
+        return Response(HTTPStatus.OK, events, EVENT_STREAM, headers)
 
     async def _events(
-        self, told: dict[str, Any], run: dict[str, Any]
+        self, payload: dict[str, Any], run: dict[str, Any]
     ) -> AsyncIterator[bytes]:
         self._running += 1
         run['active'] = True
-        cut = self._faults.get('cut_after')
+        cut_after = self._faults.get('cut_after')
         try:
-            for number in range(run['last'] + 1, told['events'] + 1):
-                await asyncio.sleep(told.get('pause', PAUSE))
-                if cut is not None and number > run['last'] + cut:
-                    raise ConnectionResetError('cut as asked')
+            for number in range(run['last'] + 1, payload['events'] + 1):
+                await asyncio.sleep(payload.get('pause', PAUSE))
+                if cut_after is not None and number > run['last'] + cut_after:
+                    raise ConnectionResetError(
+                        'stream cut by the cut_after fault'
+                    )
                 yield encode_event(run['id'], number)
             run['done'] = True
         finally:
@@ -107,13 +120,13 @@
             self._running -= 1
 
 
-def _log(run: dict[str, Any]) -> None:
-    """Keep a record that outlives this process."""
+def _print_run(run: dict[str, Any]) -> None:
+    """Write the run to standard output, which outlives this process."""
     line = msgspec.json.encode(run).decode()
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
-def encode_event(request_id: str, number: int) -> bytes:
-    """Return one event of a request's stream."""
-    return f'id: {number}\ndata: {request_id}-{number}\n\n'.encode()
+def encode_event(attempt_id: str, number: int) -> bytes:
+    """Encode one server-sent event of an attempt's stream."""
+    return f'id: {number}\ndata: {attempt_id}-{number}\n\n'.encode()
