--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The one door to the project: make demo, make test, make lint, make bench.
+# Main targets: make demo, make test, make lint, make bench.
 VENV ?= .venv
 BIN = $(VENV)/bin
 PACKAGES = gentiantrestle standins tests benchmarks examples
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Stand-ins, nine daemons in three zones, online and batch work; then stop.
+# Run online and batch work on stand-ins and nine daemons in three zones.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-work=$(mktemp -d)
+work_dir=$(mktemp -d)
 pids=()
 stop() {
   [ ${#pids[@]} -eq 0 ] || kill -TERM "${pids[@]}" 2>/dev/null || true
   wait || true
-  rm -rf "$work"
+  rm -rf "$work_dir"
 }
 trap stop EXIT
 
-hash_of() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
-start() { "$@" 2>>"$work/log" & pids+=($!); }
+hash_key() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
+start() { "$@" 2>>"$work_dir/log" & pids+=($!); }
 zones=(jhb-north pta-east cpt-south)
 regions=(gauteng gauteng western-cape)
 
@@ -29,10 +29,10 @@
     --zone="${zones[$zone]}" --region="${regions[$zone]}" \
     --http_port=$((17300 + i)) --peer_port=$((17400 + i)) \
     --store=127.0.0.1:17000 --peers="$peers" \
-    --admin_key_hash="$(hash_of operator-key)"
+    --admin_key_hash="$(hash_key operator-key)"
 done
 
-python3 - "$work/config.json" "$(hash_of booking-key)" <<'PY'
+python3 - "$work_dir/config.json" "$(hash_key booking-key)" <<'PY'
 import json, sys
 zones = ['jhb-north', 'pta-east', 'cpt-south']
 engines = {f'engine-{i}': zones[(i - 1) // 2] for i in range(1, 7)}
@@ -65,20 +65,20 @@
 
 wait_for() {
   for _ in $(seq 100); do "$@" >/dev/null 2>&1 && return; sleep 0.1; done
-  echo "gave up waiting for: $*" >&2; cat "$work/log" >&2; exit 1
+  echo "timed out waiting for: $*" >&2; cat "$work_dir/log" >&2; exit 1
 }
 operator() { GENTIANTRESTLE_KEY=operator-key gentiantrestle "$@"; }
-caller() { GENTIANTRESTLE_KEY=booking-key gentiantrestle "$@"; }
+client() { GENTIANTRESTLE_KEY=booking-key gentiantrestle "$@"; }
 
 echo '== the operator reads the difference and applies it'
 wait_for operator --server=127.0.0.1:17301 status
-operator --server=127.0.0.1:17301 --yes config apply "$work/config.json"
+operator --server=127.0.0.1:17301 --yes config apply "$work_dir/config.json"
 for i in 1 2 3 4 5 6 7 8 9; do
-  wait_for caller --server=127.0.0.1:1730$i --max_tokens=1 complete assistant hi
+  wait_for client --server=127.0.0.1:1730$i --max_tokens=1 complete assistant hi
 done
 
 echo '== an online answer, as a stream, from the other region'
-caller --server=127.0.0.1:17309 --max_tokens=12 complete assistant \
+client --server=127.0.0.1:17309 --max_tokens=12 complete assistant \
   'sort a cluttered spare room'
 
 echo '== a booking, sent twice with one key: it runs once'
@@ -89,7 +89,7 @@
 done
 
 echo '== a batch job of 1,000 items, and its results'
-python3 - "$work/items.jsonl" <<'PY'
+python3 - "$work_dir/items.jsonl" <<'PY'
 import json, sys
 with open(sys.argv[1], 'w') as lines:
     for i in range(1000):
@@ -98,15 +98,15 @@
                    'body': body}, lines)
         lines.write('\n')
 PY
-job=$(caller --server=127.0.0.1:17304 --json jobs submit "$work/items.jsonl" \
+job=$(client --server=127.0.0.1:17304 --json jobs submit "$work_dir/items.jsonl" \
   | python3 -c 'import json, sys; print(json.load(sys.stdin)["id"])')
-caller --server=127.0.0.1:17305 jobs follow "$job"
-caller --server=127.0.0.1:17306 jobs results "$job" >"$work/results.jsonl"
-head -2 "$work/results.jsonl"
-echo "results: $(wc -l <"$work/results.jsonl") lines," \
-  "$(sort -u "$work/results.jsonl" | wc -l) different"
+client --server=127.0.0.1:17305 jobs follow "$job"
+client --server=127.0.0.1:17306 jobs results "$job" >"$work_dir/results.jsonl"
+head -2 "$work_dir/results.jsonl"
+echo "results: $(wc -l <"$work_dir/results.jsonl") lines," \
+  "$(sort -u "$work_dir/results.jsonl" | wc -l) different"
 
-echo '== a bad request names its remedy'
-caller --server=127.0.0.1:17301 complete no-such-model hi || true
+echo '== a bad request gets an error with a remedy'
+client --server=127.0.0.1:17301 complete no-such-model hi || true
 
-echo '== stop; nothing is left running'
+echo '== stop all processes'
--- a/tests/utils/fleet.py
+++ b/tests/utils/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: stand-ins and daemons."""
+"""A fleet of real processes: stand-ins and daemons."""
 
 import asyncio
 import hashlib
@@ -24,21 +24,21 @@
 
 
 def hash_key(key: str) -> str:
-    """Hash a key as the configuration stores it."""
+    """Return the SHA-256 of a key, as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 class Process:
-    """One process that the test has started."""
+    """A process of a test; its standard error goes to a log file."""
 
     def __init__(self, name: str, log: Path) -> None:
-        """Log the process's standard error to a file."""
+        """Prepare a process; ``start`` runs it."""
         self.name = name
         self.log = log
         self.child: asyncio.subprocess.Process | None = None
 
     async def start(self, module: str, *words: str) -> None:
-        """Start a module of the project."""
+        """Run a module of the project with these arguments."""
         with self.log.open('ab') as log:
             self.child = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -49,21 +49,29 @@
             )
 
     def send_signal(self, signum: signal.Signals) -> None:
-        """Send a signal to just this process."""
+        """Send a signal to the process, not to its children."""
         self.child.send_signal(signum)
 
     async def end(self, signum: signal.Signals = signal.SIGKILL) -> int:
-        """End the process and return its exit status."""
+        """Signal the process, wait for its end and return its exit status."""
         with suppress(ProcessLookupError):
             self.send_signal(signum)
         return await self.child.wait()
 
 
 class Fleet:
-    """A platform, engines, a service and daemons in one or more zones."""
+    """A platform, a service, and an engine and a daemon for each zone given.
+
+    Before ``start``, a test may shorten ``engines`` and change
+    ``engine_zones``, ``slots`` (of an engine, in the configuration),
+    ``engine_words`` (options of the stand-ins) and ``daemon_flags``.
+    """
 
     def __init__(self, folder: Path, zones: Iterable[str]) -> None:
-        """Give every process its ports; nothing is started yet."""
+        """Reserve the ports of all processes; start nothing yet.
+
+        ``zones`` holds the zone of each daemon and engine.
+        """
         self.zones = tuple(zones)
         self._folder = folder
         count = len(self.zones)
@@ -81,13 +89,15 @@
         self.daemon_flags: tuple[str, ...] = ()
 
     async def start(self) -> None:
-        """Start everything and put the configuration in force."""
+        """Start all processes and wait until the configuration is in force."""
         await self._start_standin('platform', self.platform)
         await self._start_standin('service', self.service)
         for address in self.engines:
             await self._start_standin('engine', address, *self.engine_words)
         for index, _ in enumerate(self.zones):
-            self.daemons.append(Process(f'i{index}', self._log(f'i{index}')))
+            self.daemons.append(
+                Process(f'i{index}', self._log_path(f'i{index}'))
+            )
             await self.start_daemon(index)
         for index, _ in enumerate(self.zones):
             await until(lambda index=index: self.is_ready(index))
@@ -96,7 +106,7 @@
             await until(lambda index=index: self.has_revision(index, 1))
 
     async def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started."""
         for process in (*self.daemons, *self._standins):
             if process.child is not None and process.child.returncode is None:
                 with suppress(ProcessLookupError):
@@ -104,7 +114,7 @@
                 await process.end()
 
     async def start_daemon(self, index: int) -> None:
-        """Start one daemon, or start it again."""
+        """Start or restart one daemon."""
         peers = ','.join(map(str, self.peers))
         await self.daemons[index].start(
             'gentiantrestle.core',
@@ -132,34 +142,36 @@
         key: str = CLIENT_KEY,
         **headers: str,
     ) -> Reply:
-        """Call a daemon with a client's key."""
+        """Send a request to a daemon with an API key, by default a client's."""
         headers.setdefault('authorization', f'Bearer {key}')
         return await send(self.http[index], method, target, body, **headers)
 
     async def control_platform(self, **switches: Any) -> None:
-        """Switch faults of the platform."""
+        """Set faults of the platform."""
         await send(self.platform, 'POST', '/control', switches)
 
     async def control_engine(self, index: int, **switches: Any) -> None:
-        """Switch faults of an engine."""
+        """Set faults of an engine."""
         await send(self.engines[index], 'POST', '/control', switches)
 
     async def control_service(self, **switches: Any) -> None:
-        """Switch faults of the plain service."""
+        """Set faults of the plain service."""
         await send(self.service, 'POST', '/control', switches)
 
     def engine_process(self, index: int) -> Process:
-        """Return an engine's process."""
-        engines = [one for one in self._standins if one.name == 'engine']
+        """Return the process of an engine."""
+        engines = [
+            process for process in self._standins if process.name == 'engine'
+        ]
         return engines[index]
 
     async def write_object(self, name: str, document: dict[str, Any]) -> None:
-        """Write an object as the platform itself would."""
+        """Write an object straight to the platform, unconditionally."""
         target = f'/v1/objects/{name}'
         await send(self.platform, 'PUT', target, document)
 
     async def engine_runs(self) -> dict[str, int]:
-        """Count the runs of each prompt over all engines."""
+        """Return the number of runs of each prompt, over all engines."""
         runs: dict[str, int] = {}
         for address in self.engines:
             stats = (await send(address, 'GET', '/stats')).json()
@@ -168,38 +180,38 @@
         return runs
 
     async def engine_refusals(self, index: int) -> int:
-        """Count the requests that a leaving engine has refused."""
+        """Return how many requests a leaving engine has refused."""
         stats = await send(self.engines[index], 'GET', '/stats')
         return stats.json()['refused']
 
     async def engine_tokens(self) -> dict[str, int]:
-        """Count the tokens that each engine has made."""
+        """Return the tokens of each engine, steps in prefill included."""
         return {
             str(address): (await send(address, 'GET', '/stats')).json()['made']
             for address in self.engines
         }
 
     async def service_runs(self) -> dict[str, int]:
-        """Count the runs of each body at the plain service."""
+        """Return the number of runs of each body at the plain service."""
         return (await send(self.service, 'GET', '/stats')).json()['runs']
 
     async def is_ready(self, index: int) -> bool:
-        """Tell whether a daemon wants callers."""
+        """Tell whether a daemon is ready for requests."""
         with suppress(*UNREACHABLE):
             return (await self.call(index, 'GET', '/readyz')).status == 200
         return False
 
     async def status(self, index: int) -> dict[str, Any]:
-        """Read a daemon's status."""
+        """Return the status of a daemon."""
         reply = await self.call(index, 'GET', '/admin/status', key=OPERATOR_KEY)
         return reply.json()
 
     async def has_revision(self, index: int, revision: int) -> bool:
-        """Tell whether a configuration is in force at a daemon."""
+        """Tell whether a daemon runs this revision or a later one."""
         return (await self.status(index))['config_revision'] >= revision
 
     async def sees_alive(self, index: int, count: int) -> bool:
-        """Tell whether a daemon sees just this many live instances."""
+        """Tell whether a daemon sees exactly ``count`` live instances."""
         members = (await self.status(index))['members']
         return sum(member['alive'] for member in members) == count
 
@@ -220,11 +232,11 @@
         )
 
     async def job_status(self, index: int, job: str) -> dict[str, Any]:
-        """Read a job's status."""
+        """Return the status of a job, as a daemon sees it."""
         return (await self.call(index, 'GET', f'/v1/batches/{job}')).json()
 
     async def wait_for_job(self, index: int, job: str) -> dict[str, Any]:
-        """Wait until a job has ended; return its last status."""
+        """Wait up to 25 s until a job has ended; return its final status."""
 
         async def ended() -> dict[str, Any] | None:
             status = await self.job_status(index, job)
@@ -233,13 +245,13 @@
         return await until(ended, 25)
 
     async def chunk_records(self, job: str) -> dict[str, dict[str, Any]]:
-        """Read the records of a job's chunks from the platform."""
+        """Return a job's chunk records by name, read from the platform."""
         target = f'/v1/objects?values=1&prefix=chunks/{job}/'
         listing = (await send(self.platform, 'GET', target)).json()
-        return {one['name']: one['body'] for one in listing['objects']}
+        return {stored['name']: stored['body'] for stored in listing['objects']}
 
     async def results(self, index: int, job: str) -> list[dict[str, Any]]:
-        """Read a job's result lines."""
+        """Return a job's result lines, as a daemon sends them."""
         reply = await self.call(index, 'GET', f'/v1/batches/{job}/results')
         return msgspec.json.Decoder().decode_lines(reply.body)
 
@@ -254,7 +266,7 @@
         )
 
     def config_document(self, revision: int = 0) -> dict[str, Any]:
-        """Describe the fleet's configuration."""
+        """Return the configuration of the fleet as a document."""
         engines = {
             f'e{index}': {
                 'zone': self.engine_zones[index],
@@ -292,7 +304,7 @@
             },
         }
 
-    def _log(self, name: str) -> Path:
+    def _log_path(self, name: str) -> Path:
         return self._folder / f'{name}.log'
 
     async def _apply_first(self) -> bool:
@@ -304,13 +316,13 @@
         address: Address,
         *words: str,
     ) -> None:
-        process = Process(kind, self._log(kind))
+        process = Process(kind, self._log_path(kind))
         self._standins.append(process)
         await process.start('standins.core', kind, str(address.port), *words)
-        await until(lambda: _answers(address))
+        await until(lambda: _responds(address))
 
 
-async def _answers(address: Address) -> bool:
+async def _responds(address: Address) -> bool:
     with suppress(*UNREACHABLE):
         return (await send(address, 'POST', '/control', {})).status == 200
     return False
@@ -322,7 +334,10 @@
     endpoint: str = 'chat',
     prefix: str = 'p',
 ) -> bytes:
-    """Write a job of ``count`` items."""
+    """Encode a batch input of ``count`` items as JSON lines.
+
+    Item ``i`` has the prompt ``prefix`` followed by ``i``.
+    """
     return msgspec.json.Encoder().encode_lines(
         [
             {
--- a/tests/utils/http.py
+++ b/tests/utils/http.py
@@ -1,4 +1,4 @@
-"""Small HTTP calls for tests."""
+"""HTTP requests for tests, each on its own connection."""
 
 import asyncio
 from typing import Any, NamedTuple
@@ -12,14 +12,14 @@
 
 
 class Reply(NamedTuple):
-    """A whole answer with its header fields in lower case."""
+    """A whole response; names of headers are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Read the body as JSON."""
+        """Decode the body as JSON."""
         return msgspec.json.decode(self.body)
 
 
@@ -30,7 +30,11 @@
     body: Any = b'',
     **headers: str,
 ) -> Reply:
-    """Send one call on a connection of its own."""
+    """Send one request and return its whole response.
+
+    A body that isn't bytes is sent as JSON. Names of headers have underscores
+    for dashes. Raise ``NotSentError`` or ``LostError``.
+    """
     if not isinstance(body, bytes):
         body = msgspec.json.encode(body)
     fields = tuple(
@@ -42,18 +46,18 @@
             ClientRequest(method, target, fields, body),
             str(address),
         )
-        whole = await answer.read()
+        reply_body = await answer.read()
     finally:
         conn.close()
     found = {
         name.decode().lower(): text.decode()
         for name, text in answer.raw_headers
     }
-    return Reply(answer.status, found, whole)
+    return Reply(answer.status, found, reply_body)
 
 
 async def send_raw(address: Address, raw: bytes) -> bytes:
-    """Send bytes as they are; return all that comes until the end."""
+    """Send raw bytes; return all that comes until the server closes."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(raw)
@@ -64,7 +68,11 @@
 
 
 async def until(check: Any, timeout: float = 30) -> Any:
-    """Wait until a condition holds; return what it found."""
+    """Call ``check`` until it returns something true, and return that.
+
+    ``check`` may be a coroutine function. Raise ``TimeoutError`` after
+    ``timeout`` seconds.
+    """
     async with asyncio.timeout(timeout):
         while True:
             found = check()
--- a/tests/utils/in_process_fleet.py
+++ b/tests/utils/in_process_fleet.py
@@ -1,4 +1,4 @@
-"""Several daemons on one loop, whose links a test can cut."""
+"""Daemons on one event loop whose zones a test can isolate."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,10 +21,10 @@
 
 
 class InProcessFleet:
-    """One daemon and one engine in each zone, a platform and a service."""
+    """A platform, a service, and a daemon and an engine for each zone given."""
 
     def __init__(self, zones: tuple[str, ...]) -> None:
-        """Give everything its ports; nothing listens yet."""
+        """Reserve the ports; start nothing yet."""
         self.zones = zones
         count = len(zones)
         ports = iter(free_ports(3 * count + 2))
@@ -40,7 +40,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the stand-ins and the daemons."""
         await self._serve(self.platform.handle, self.platform_address)
         await self._serve(self.service.handle, self.service_address)
         for address in self.engines:
@@ -51,7 +51,7 @@
             self._start_daemon(index)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the daemons and the stand-ins."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -59,7 +59,7 @@
             await server.stop(0)
 
     async def isolate_zones(self, *zones: str) -> None:
-        """Cut zones off from the others and from the platform."""
+        """Isolate just these zones from the others and the platform."""
         self.isolated_zones = set(zones)
         body = {'cut_zones': list(zones)}
         await send(self.platform_address, 'POST', '/control', body)
@@ -72,19 +72,19 @@
         body: Any = b'',
         **headers: str,
     ) -> Reply:
-        """Call a daemon, as an operator where the path says so."""
+        """Send a request to a daemon, with the operator's key below /admin."""
         key = OPERATOR_KEY if target.startswith('/admin') else CLIENT_KEY
         headers['authorization'] = f'Bearer {key}'
         return await send(self.http[index], method, target, body, **headers)
 
     async def revision(self, index: int) -> int:
-        """Read the revision that is in force at a daemon."""
+        """Return the revision in force at a daemon."""
         return (await self.call(index, 'GET', '/admin/config')).json()[
             'revision'
         ]
 
     def config_document(self, revision: int) -> dict[str, Any]:
-        """Describe the fleet."""
+        """Return the configuration of the fleet as a document."""
         upstreams = {
             f'e{index}': {
                 'zone': zone,
@@ -143,22 +143,22 @@
             {},
         )
         tree = SupervisionTree.from_config(Context.from_config(cfg))
-        self._cut_link(tree, self.zones[index])
+        self._wrap_peer_calls(tree, self.zones[index])
         self._tasks.append(asyncio.create_task(tree.run()))
 
-    def _cut_link(self, tree: SupervisionTree, zone: str) -> None:
-        """Let calls between a cut zone and the others fail."""
+    def _wrap_peer_calls(self, tree: SupervisionTree, zone: str) -> None:
+        """Make calls between an isolated zone and the others fail."""
         peers = tree.components.membership.peers
         call = peers.call
 
-        async def call_unless_cut(
+        async def call_unless_isolated(
             address: Address,
             envelope: Envelope,
             timeout: float = 1,
         ) -> Envelope:
             other = self.zones[self.peers.index(address)]
             if other != zone and self.isolated_zones & {other, zone}:
-                raise PeerError('cut')
+                raise PeerError('zone is isolated by the test')
             return await call(address, envelope, timeout)
 
-        peers.call = call_unless_cut
+        peers.call = call_unless_isolated
--- a/tests/utils/ports.py
+++ b/tests/utils/ports.py
@@ -13,13 +13,17 @@
 
 
 def worker_number() -> int:
-    """Number the test worker that this process is."""
+    """Return the number of this test worker, below ``WORKERS``."""
     name = os.environ.get('PYTEST_XDIST_WORKER', 'gw0')
     return int(name.removeprefix('gw')) % WORKERS
 
 
 def _candidates() -> Iterator[int]:
-    """Go round ports below those that outgoing connections are given."""
+    """Yield the ports of this worker endlessly.
+
+    They lie below the range of ports that the system gives to outgoing
+    connections.
+    """
     first = FIRST_PORT + worker_number() * PORTS_PER_WORKER
     ports = range(first, first + PORTS_PER_WORKER)
     start = os.getpid() % PORTS_PER_WORKER
@@ -27,8 +31,8 @@
 
 
 def _is_unused(port: int) -> bool:
-    with suppress(OSError), socket.socket() as probe:
-        probe.bind((HOST, port))
+    with suppress(OSError), socket.socket() as sock:
+        sock.bind((HOST, port))
         return True
     return False
 
@@ -37,5 +41,5 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on."""
+    """Return ports that are not in use now."""
     return list(islice(PORTS, count))
