--- a/tests/interfaces/test_cli.py
+++ b/tests/interfaces/test_cli.py
@@ -14,21 +14,21 @@
 from gentiantrestle.options import OPTIONS as SETTINGS
 from tests.utils.fleet import CLIENT_KEY, OPERATOR_KEY, job_lines
 from tests.utils.ports import HOST, free_ports
-from tests.utils.world import World
+from tests.utils.sync_fleet import SyncFleet
 
 RunTool = Callable[..., ExitStatus]
 
 
 @pytest.fixture(scope='module')
-def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
+def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
     """Run one fleet for all tests of this module."""
-    shared = World(tmp_path_factory.mktemp('cli'))
+    shared = SyncFleet(tmp_path_factory.mktemp('cli'))
     yield shared
     shared.close()
 
 
 @pytest.fixture
-def run_tool(world: World) -> RunTool:
+def run_tool(world: SyncFleet) -> RunTool:
     """Return a function that runs the tool against the fleet."""
 
     def call(*words: str, key: str = CLIENT_KEY) -> ExitStatus:
@@ -138,7 +138,7 @@
     run_tool: RunTool,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
-    world: World,
+    world: SyncFleet,
 ) -> None:
     operator = Operator.connect(str(world.fleet.http[0]), OPERATOR_KEY)
     draft = operator.draft().remove('clients', 'other')
