--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -177,7 +177,7 @@
             return False
         return reply.status == 200
 
-    async def ask(
+    async def request(
         self,
         number: int,
         request_id: str,
@@ -196,11 +196,11 @@
             self.address(number), method, path, body, {**fields, **headers}
         )
 
-    async def harm_store(self, **faults: Any) -> None:
+    async def set_store_faults(self, **faults: Any) -> None:
         """Put faults of the store in force, in place of those before."""
         await send(self.store, 'POST', '/control', faults)
 
-    async def harm(self, upstream: int, **faults: Any) -> None:
+    async def set_faults(self, upstream: int, **faults: Any) -> None:
         """Put faults of an upstream in force, in place of those before."""
         await send(self.upstreams[upstream], 'POST', '/control', faults)
 
@@ -276,7 +276,7 @@
         self.standins[address] = child
 
 
-def in_force(fleet: GatewayFleet, entry: int, version: int) -> bool:
+def has_applied_config(fleet: GatewayFleet, entry: int, version: int) -> bool:
     """Tell whether an entry has said that a version is in force."""
     return any(
         line['code'] == 4001 and line['revision'] == version
--- a/tests/gateway/test_process_jobs.py
+++ b/tests/gateway/test_process_jobs.py
@@ -3,7 +3,12 @@
 import base64
 from typing import Any
 
-from tests.gateway.fleet import ENTRIES, UPSTREAMS, GatewayFleet, in_force
+from tests.gateway.fleet import (
+    ENTRIES,
+    UPSTREAMS,
+    GatewayFleet,
+    has_applied_config,
+)
 from tests.gateway.wire_samples import expected_output, job_doc, route_docs
 from tests.utils.http import until
 
@@ -15,7 +20,7 @@
 
     async def read_page() -> dict[str, Any] | None:
         path = f'/gentiantrestle/lots/{name}?after=0'
-        page = await fleet.ask(entry, 'read', path, method='GET')
+        page = await fleet.request(entry, 'read', path, method='GET')
         if page.status != 200:
             return None
         body = page.json()
@@ -29,7 +34,7 @@
     fleet: GatewayFleet,
 ) -> None:
     for entry in (0, 1, 0):
-        reply = await fleet.ask(
+        reply = await fleet.request(
             entry, 'job1', '/lists/j', job_doc('job1', 6, 9)
         )
         assert reply.status == 202
@@ -39,7 +44,7 @@
             f'job1-{number}': expected_output(f'job1-{number}', 9)
             for number in range(6)
         }
-    body = await fleet.ask(
+    body = await fleet.request(
         2, 'b', '/gentiantrestle/items/job1?id=job1-3', method='GET'
     )
     assert body.body == b'{"events":9}'
@@ -48,7 +53,7 @@
 async def test_job_completes_after_its_acceptor_is_killed(
     fleet: GatewayFleet,
 ) -> None:
-    reply = await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 4, 40))
+    reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 4, 40))
     assert reply.status == 202
     await fleet.entries[0].end()
     found = await read_all(fleet, 1, 'job1')
@@ -62,8 +67,8 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, cut_after=10)
-    await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 25))
+        await fleet.set_faults(number, cut_after=10)
+    await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 25))
     found = await read_all(fleet, 0, 'job1')
     assert found['job1-0'] == expected_output('job1-0', 25)
     assert sorted(run['last'] for run in await fleet.runs()) == [0, 10, 20]
@@ -73,11 +78,13 @@
     fleet: GatewayFleet,
 ) -> None:
     poison = base64.b64encode(b'{"poison":1}').decode()
-    await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 1, body=poison))
+    await fleet.request(
+        0, 'job1', '/lists/j', job_doc('job1', 1, 1, body=poison)
+    )
     assert await read_all(fleet, 1, 'job1') == {'job1-0': ''}
     for number in range(UPSTREAMS):
-        await fleet.harm(number, fail=True)
-    await fleet.ask(0, 'job2', '/lists/j', job_doc('job2', 1, 1))
+        await fleet.set_faults(number, fail=True)
+    await fleet.request(0, 'job2', '/lists/j', job_doc('job2', 1, 1))
     assert await read_all(fleet, 1, 'job2') == {'job2-0': ''}
     runs = [run for run in await fleet.runs() if run['id'] == 'job2-0']
     assert len(runs) == 3
@@ -85,10 +92,10 @@
 
 async def test_cancelled_job_stops_running(fleet: GatewayFleet) -> None:
     slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
-    await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow))
+    await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow))
     await until(lambda: busy(fleet))
     for _ in range(2):
-        reply = await fleet.ask(
+        reply = await fleet.request(
             1, 'end', '/gentiantrestle/lots/job1', method='DELETE'
         )
         assert reply.status == 200
@@ -109,10 +116,10 @@
 async def test_submit_and_read_are_refused_while_store_is_down(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.harm_store(down=True)
-    reply = await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 1))
+    await fleet.set_store_faults(down=True)
+    reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 1))
     assert reply.status == 503
-    page = await fleet.ask(
+    page = await fleet.request(
         0, 'read', '/gentiantrestle/lots/job1?after=0', method='GET'
     )
     assert page.status == 503
@@ -121,10 +128,10 @@
 async def test_job_is_accepted_after_some_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.harm_store(lose=3, silence=30)
-    reply = await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 4))
+    await fleet.set_store_faults(lose=3, silence=30)
+    reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 4))
     assert reply.status == 202
-    await fleet.harm_store()
+    await fleet.set_store_faults()
     assert await read_all(fleet, 1, 'job1') == {
         'job1-0': expected_output('job1-0', 4)
     }
@@ -134,11 +141,11 @@
 async def test_submit_is_unsure_while_all_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.harm_store(lose=99, silence=30)
-    reply = await fleet.ask(0, 'job1', '/lists/j', job_doc('job1', 1, 4))
+    await fleet.set_store_faults(lose=99, silence=30)
+    reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 4))
     assert reply.status == 502
-    await fleet.harm_store()
-    again = await fleet.ask(1, 'job1', '/lists/j', job_doc('job1', 1, 4))
+    await fleet.set_store_faults()
+    again = await fleet.request(1, 'job1', '/lists/j', job_doc('job1', 1, 4))
     assert again.status == 202
     assert await read_all(fleet, 1, 'job1') == {
         'job1-0': expected_output('job1-0', 4)
@@ -150,12 +157,12 @@
     routes[-1]['max-count'] = 60
     await fleet.configure(routes)
     for number in range(ENTRIES):
-        await until(lambda entry=number: in_force(fleet, entry, 2))
+        await until(lambda entry=number: has_applied_config(fleet, entry, 2))
     slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
     statuses = []
     for number in range(6):
         name = f'job{number}'
-        reply = await fleet.ask(
+        reply = await fleet.request(
             number % ENTRIES, name, '/lists/j', job_doc(name, 2, 1, body=slow)
         )
         statuses.append(reply.status)
--- a/tests/gateway/test_process_operations.py
+++ b/tests/gateway/test_process_operations.py
@@ -7,7 +7,7 @@
 
 from gentiantrestle.http.client import ConnectionLostError
 from gentiantrestle.models import Address
-from tests.gateway.fleet import ENTRIES, GatewayFleet, in_force
+from tests.gateway.fleet import ENTRIES, GatewayFleet, has_applied_config
 from tests.gateway.wire_samples import expected_stream, route_doc, route_docs
 from tests.utils.http import send, until
 
@@ -22,7 +22,7 @@
     )
     for number in range(ENTRIES):
         await until(lambda one=number: serves(fleet, one, '/new/'))
-    await fleet.harm_store(down=True)
+    await fleet.set_store_faults(down=True)
     await fleet.entries[0].end()
     await fleet.start_entry(0)
     await until(lambda: fleet.is_ready(0))
@@ -31,7 +31,7 @@
 
 async def serves(fleet: GatewayFleet, entry: int, path: str) -> bool:
     """Tell whether an entry serves a path."""
-    reply = await fleet.ask(entry, f'r-{entry}', path, {'events': 1})
+    reply = await fleet.request(entry, f'r-{entry}', path, {'events': 1})
     return reply.status == 200
 
 
@@ -48,25 +48,25 @@
     await fleet.register(0, 'draining')
     await until(lambda: heard_draining(fleet, 0))
     for number in range(6):
-        await fleet.ask(0, f'r{number}', '/get/1', method='GET')
+        await fleet.request(0, f'r{number}', '/get/1', method='GET')
     runs = (await send(fleet.upstreams[0], 'GET', '/runs')).json()
     assert runs == []
 
 
 async def test_a_planned_stop_cuts_nothing(fleet: GatewayFleet) -> None:
     stream = asyncio.create_task(
-        fleet.ask(0, 'r1', body={'events': 60, 'pause': 0.05})
+        fleet.request(0, 'r1', body={'events': 60, 'pause': 0.05})
     )
     await until(fleet.runs)
     stopped = asyncio.create_task(fleet.entries[0].end(signal.SIGTERM))
-    late = await fleet.ask(0, 'r2', body={'events': 3})
+    late = await fleet.request(0, 'r2', body={'events': 3})
     assert late.body == expected_stream('r2', 3)
     assert (await stream).body == expected_stream('r1', 60)
     assert await stopped == 0
 
 
 async def test_a_dropped_history_loses_no_change(fleet: GatewayFleet) -> None:
-    await fleet.harm_store(compact=True)
+    await fleet.set_store_faults(compact=True)
     await fleet.configure(
         [*route_docs(), route_doc(name='new', path_prefix='/new/')]
     )
@@ -77,10 +77,10 @@
 async def test_a_request_can_be_followed_through_the_log(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.harm(0, cut_after=2)
-    await fleet.harm(1, cut_after=2)
+    await fleet.set_faults(0, cut_after=2)
+    await fleet.set_faults(1, cut_after=2)
     with pytest.raises(ConnectionLostError):
-        await fleet.ask(0, 'r1', '/once/1', {'events': 9})
+        await fleet.request(0, 'r1', '/once/1', {'events': 9})
     lines = await until(
         lambda: [
             line
@@ -97,7 +97,7 @@
 async def test_metrics_count_requests_and_their_time(
     fleet: GatewayFleet,
 ) -> None:
-    await fleet.ask(0, 'r1', '/get/1', method='GET')
+    await fleet.request(0, 'r1', '/get/1', method='GET')
     page = await send(Address(fleet.hosts[0], 9464), 'GET', '/metrics')
     text = page.body.decode()
     assert 'gateway_requests_total{' in text
@@ -112,7 +112,7 @@
     assert await fleet.is_ready(0)
     stopped = asyncio.create_task(fleet.entries[0].end(signal.SIGTERM))
     await until(lambda: not_ready(fleet, 0))
-    assert (await fleet.ask(0, 'r1', '/get/1', method='GET')).status == 200
+    assert (await fleet.request(0, 'r1', '/get/1', method='GET')).status == 200
     assert await stopped == 0
 
 
@@ -144,5 +144,7 @@
     others = [one for one in range(ENTRIES) if one != first]
     # The bound for a configuration to be in force.
     for number in others:
-        await until(lambda one=number: in_force(fleet, one, 2), timeout=2.5)
+        await until(
+            lambda one=number: has_applied_config(fleet, one, 2), timeout=2.5
+        )
     await until(lambda: len([one for one in watchers() if one != first]) == 1)
--- a/tests/gateway/test_process_requests.py
+++ b/tests/gateway/test_process_requests.py
@@ -13,12 +13,12 @@
 async def test_each_kind_of_request_is_served_whole(
     fleet: GatewayFleet,
 ) -> None:
-    stream = await fleet.ask(0, 'r1', body={'events': 20})
+    stream = await fleet.request(0, 'r1', body={'events': 20})
     assert (stream.status, stream.body) == (200, expected_stream('r1', 20))
     assert stream.headers['x-server-stamp'] == 'stamp'
-    plain = await fleet.ask(1, 'r2', '/get/a?b=c', method='GET')
+    plain = await fleet.request(1, 'r2', '/get/a?b=c', method='GET')
     assert (plain.status, plain.body) == (200, b'plain')
-    unknown = await fleet.ask(2, 'r3', '/none/')
+    unknown = await fleet.request(2, 'r3', '/none/')
     assert unknown.status == 404
     assert {run['id'] for run in await fleet.runs()} == {'r1', 'r2'}
 
@@ -27,8 +27,8 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, cut_after=7)
-    reply = await fleet.ask(0, 'r1', body={'events': 14})
+        await fleet.set_faults(number, cut_after=7)
+    reply = await fleet.request(0, 'r1', body={'events': 14})
     assert reply.body == expected_stream('r1', 14)
     runs = await fleet.runs()
     assert sorted(run['last'] for run in runs) == [0, 7]
@@ -38,9 +38,9 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, cut_after=3)
+        await fleet.set_faults(number, cut_after=3)
     with pytest.raises(ConnectionLostError):
-        await fleet.ask(0, 'r1', '/once/1', {'events': 9})
+        await fleet.request(0, 'r1', '/once/1', {'events': 9})
     assert len(await fleet.runs()) == 1
 
 
@@ -48,8 +48,8 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, answer_as='other')
-    reply = await fleet.ask(0, 'r1', '/pay/1', {})
+        await fleet.set_faults(number, answer_as='other')
+    reply = await fleet.request(0, 'r1', '/pay/1', {})
     assert reply.status == 502
     assert len(await fleet.runs()) == 1
 
@@ -58,8 +58,8 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, shed=True)
-    reply = await fleet.ask(0, 'r1', '/pay/1', {})
+        await fleet.set_faults(number, shed=True)
+    reply = await fleet.request(0, 'r1', '/pay/1', {})
     assert reply.status in {429, 503}
     assert float(reply.headers['retry-after']) > 0
     assert await fleet.runs() == []
@@ -121,7 +121,7 @@
     fleet: GatewayFleet,
 ) -> None:
     for number in range(UPSTREAMS):
-        await fleet.harm(number, silent=20)
+        await fleet.set_faults(number, silent=20)
     _, writer = await asyncio.open_connection(*fleet.address(0))
     writer.write(
         b'POST /once/1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: r1\r\n'
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -114,7 +114,7 @@
     child = world.standins[address]
     with suppress(NotSentError, ConnectionLostError):
         if child.runs:
-            await world.harm(world.upstreams.index(address), **faults)
+            await world.set_faults(world.upstreams.index(address), **faults)
 
 
 @_fault
@@ -128,9 +128,9 @@
             {'compact': True},
         )
     )
-    await world.harm_store(**faults)
+    await world.set_store_faults(**faults)
     await asyncio.sleep(_time(rng))
-    await world.harm_store()
+    await world.set_store_faults()
 
 
 @_fault
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -89,10 +89,10 @@
     for link in world.links:
         link.heal()
     world.skew_clocks(0)
-    await world.harm_store()
+    await world.set_store_faults()
     for number, _ in enumerate(world.upstreams):
         await world.start_upstream(number)
-        await world.harm(number)
+        await world.set_faults(number)
         await world.register(number)
     await _revive(world)
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -108,7 +108,7 @@
 
     async def _answers(self, number: int) -> bool:
         try:
-            await self.harm(number)
+            await self.set_faults(number)
         except (NotSentError, ConnectionLostError):
             return False
         return True
