--- a/gentiantrestle/events.py
+++ b/gentiantrestle/events.py
@@ -48,7 +48,7 @@
 CHILD_ABANDONED = _define(
     1006, LEVEL_CRITICAL, 'child {child} exceeded its restart limit'
 )
-SETTINGS_CHANGED = _define(
+RELOAD_IGNORED = _define(
     1007, LEVEL_INFO, 'settings changed; nothing to reload'
 )
 STORE_UNREACHABLE = _define(
--- a/gentiantrestle/platform/__main__.py
+++ b/gentiantrestle/platform/__main__.py
@@ -9,7 +9,7 @@
 from gentiantrestle import events
 from gentiantrestle.config import Settings, define_flags
 from gentiantrestle.exit_status import ExitStatus
-from gentiantrestle.gateway.definition import OPTIONS
+from gentiantrestle.gateway.options import OPTIONS
 from gentiantrestle.logsink import JsonLineSink
 from gentiantrestle.platform.roles import ROLES
 from gentiantrestle.platform.settings import (
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -144,4 +144,4 @@
 
 
 def _log_reload() -> None:
-    events.emit(events.SETTINGS_CHANGED)
+    events.emit(events.RELOAD_IGNORED)
