--- a/gentiantrestle/events.py
+++ b/gentiantrestle/events.py
@@ -49,7 +49,9 @@
     1006, LEVEL_CRITICAL, 'child {child} exceeded its restart limit'
 )
 RELOAD_IGNORED = _define(
-    1007, LEVEL_INFO, 'settings changed; nothing to reload'
+    1007,
+    LEVEL_INFO,
+    'received SIGHUP; settings are read at start only: restart to apply them',
 )
 STORE_UNREACHABLE = _define(
     2001, LEVEL_WARNING, 'store does not answer: {error}'
--- a/gentiantrestle/gateway/admission.py
+++ b/gentiantrestle/gateway/admission.py
@@ -132,7 +132,7 @@
         excluded: frozenset[str],
         now: float,
     ) -> Upstream | None:
-        """Find an upstream with a free slot, or one to take from batch work.
+        """Find an upstream with a free slot, or with batch work to preempt.
 
         Batch work of this instance is preempted first; other instances
         preempt theirs when they see that an upstream is overbooked.
@@ -142,10 +142,16 @@
         if upstream is not None:
             return upstream
         preempted = self.preempt(
-            [each.id for each in known if each.id not in excluded]
+            [
+                candidate.id
+                for candidate in known
+                if candidate.id not in excluded
+            ]
         )
         if preempted is not None:
-            return next(each for each in known if each.id == preempted)
+            return next(
+                candidate for candidate in known if candidate.id == preempted
+            )
         return self._placement.choose_preemptible(known, now, excluded=excluded)
 
     async def _wait_for_slot(
--- a/gentiantrestle/gateway/assembly.py
+++ b/gentiantrestle/gateway/assembly.py
@@ -35,7 +35,7 @@
 class WorkComponents(NamedTuple):
     """The components that place and run requests and batch items."""
 
-    parts: BatchContext
+    batch_context: BatchContext
     admission: Admission
     runner: Runner
 
@@ -55,7 +55,7 @@
     board = LoadBoard()
     index = JobIndex()
     store = RetryingStore(adapter.store, clock.now)
-    parts = BatchContext(
+    batch_context = BatchContext(
         index,
         JobStore(store, index, rng, clock.now, adapter.store),
         state.router,
@@ -65,7 +65,9 @@
         adapter.dialect,
         clock,
     )
-    admission = Admission(state.roster, board, parts.placement, clock.now)
-    runner = Runner(parts, run_name)
+    admission = Admission(
+        state.roster, board, batch_context.placement, clock.now
+    )
+    runner = Runner(batch_context, run_name)
     admission.preempt = runner.run_table.preempt
-    return WorkComponents(parts, admission, runner)
+    return WorkComponents(batch_context, admission, runner)
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -33,9 +33,9 @@
 OK = 200
 MAX_JOB_SIZE = 1000000  # bytes: the store's limit for one object
 MAX_PAGE_SIZE = 900000  # characters of output in one response
-# Between checks for results that another instance may store.
+# Time between checks for results that another instance may store.
 PEER_POLL_INTERVAL = 0.25  # seconds
-# Between checks for results that only this instance stores.
+# Time between checks for results that only this instance stores.
 LOCAL_POLL_INTERVAL = 0.1  # seconds
 STORE_RETRY_AFTER = 0.5  # seconds, while the store is unavailable
 # Up to this share of a quota only the jobs known here are counted: those not
@@ -55,7 +55,10 @@
 
 
 class Submission(NamedTuple):
-    """When a job came (wall-clock time in s), and the version in force."""
+    """When a job was submitted, and the configuration version in force then.
+
+    ``submitted`` is a wall-clock time in s.
+    """
 
     submitted: float
     config_version: int
@@ -216,9 +219,9 @@
     async def _check_quota(self, job: Job, route: Route) -> None:
         """Refuse a job that exceeds the route's token quota.
 
-        Far below the quota the jobs known here suffice: what other instances
-        accept meanwhile can't use up the rest. Above that, jobs and results
-        are read anew before a job is refused.
+        Up to ``QUOTA_LOCAL_SHARE`` of the quota, only the jobs known here are
+        counted. Above that, jobs are listed again, and results are read again
+        before a job is refused.
         """
         if not route.max_tokens:
             return
--- a/gentiantrestle/gateway/batch/item_progress.py
+++ b/gentiantrestle/gateway/batch/item_progress.py
@@ -21,19 +21,19 @@
 UNPROCESSABLE = 422  # the item can't succeed on any upstream
 RUN_FAILED = 500
 # A running item sends an event every few tens of ms; a run that is silent
-# for this long is ended, and the item runs again from its last event.
+# for this long is aborted, and the item runs again from its last event.
 STALL_TIMEOUT = 3.0  # seconds
 
 
 class RunOutcome(NamedTuple):
-    """How one run of an item ended; without a result it runs again."""
+    """How one run of an item ended; if ``result`` is None it runs again."""
 
     result: ItemResult | None
     reason: str
 
 
 class ItemProgress:
-    """Output of an item so far; it is kept when a run is cut off."""
+    """Runs an item; keeps its output so far when a run is cut off."""
 
     def __init__(
         self, entry: JobEntry, spec: ItemSpec, max_failures: int
@@ -58,13 +58,13 @@
 
         Failures of the upstream are returned; only cancellation is raised.
         """
-        connection = UpstreamConnection(dialect)
+        conn = UpstreamConnection(dialect)
         health = placement.health(upstream.id)
         started = now()
         try:
-            await connection.connect(upstream)
-            reply = await self._start(connection, dialect, upstream)
-            outcome = await self._read(connection, reply)
+            await conn.connect(upstream)
+            reply = await self._start(conn, dialect, upstream)
+            outcome = await self._read(conn, reply)
         except (RequestNotSentError, ResponseLostError, TimeoutError) as exc:
             health.record_failure(now(), 0)
             outcome = RunOutcome(None, repr(exc))
@@ -73,7 +73,7 @@
         else:
             health.record_success()
         finally:
-            connection.close()
+            conn.close()
             self.run_time += now() - started
         self._log(upstream, outcome)
         return outcome
@@ -85,11 +85,11 @@
 
     async def _start(
         self,
-        connection: UpstreamConnection,
+        conn: UpstreamConnection,
         dialect: Dialect,
         upstream: Upstream,
     ) -> Reply:
-        request = UpstreamRequest(
+        req = UpstreamRequest(
             self.spec.id,
             'POST',
             self.spec.path,
@@ -99,13 +99,11 @@
             self.spec.body,
         )
         async with asyncio.timeout(STALL_TIMEOUT):
-            return await connection.send(request)
+            return await conn.send(req)
 
-    async def _read(
-        self, connection: UpstreamConnection, reply: Reply
-    ) -> RunOutcome:
+    async def _read(self, conn: UpstreamConnection, reply: Reply) -> RunOutcome:
         if reply.status == OK:
-            await self._collect(connection)
+            await self._collect(conn)
             text = '\n'.join(self._texts)
             return RunOutcome(ItemResult(self.spec.id, True, text), 'whole')
         reason = f'status {reply.status}'
@@ -117,9 +115,9 @@
             return RunOutcome(self.fail(reason), reason)
         return RunOutcome(None, reason)
 
-    async def _collect(self, connection: UpstreamConnection) -> None:
+    async def _collect(self, conn: UpstreamConnection) -> None:
         splitter = EventSplitter(self._last_event)
-        async for part in connection.iter_body(STALL_TIMEOUT):
+        async for part in conn.iter_body(STALL_TIMEOUT):
             for event in splitter.feed(part):
                 self._texts.append(event.data)
                 self._last_event = splitter.last_id
--- a/gentiantrestle/gateway/batch/job_index.py
+++ b/gentiantrestle/gateway/batch/job_index.py
@@ -29,13 +29,13 @@
 
     @property
     def open(self) -> bool:
-        """Tell whether items of the job may still be run."""
+        """Return whether items of the job may still be run."""
         closed = self.job.cancelled or self.job.done
         return not closed and not self.complete
 
     @property
     def complete(self) -> bool:
-        """Tell whether every item has a stored result."""
+        """Return whether every item has a stored result."""
         return len(self._stored_ids) >= len(self.job.items)
 
     def update(self, record: JobRecord) -> None:
@@ -66,7 +66,7 @@
         self.chunk_count = max(self.chunk_count - 1, chunks)
 
     def has_result(self, item_id: str) -> bool:
-        """Tell whether an item's result is stored."""
+        """Return whether an item's result is stored."""
         return item_id in self._stored_ids
 
     def unfinished_items(self) -> Iterator[ItemSpec]:
@@ -79,7 +79,7 @@
 
     @property
     def has_bodies(self) -> bool:
-        """Tell whether the items' bodies are in memory."""
+        """Return whether the items' bodies are in memory."""
         return bool(self._specs)
 
     def load_bodies(self, specs: Iterable[ItemSpec]) -> None:
--- a/gentiantrestle/gateway/batch/job_store.py
+++ b/gentiantrestle/gateway/batch/job_store.py
@@ -10,8 +10,8 @@
 from gentiantrestle.gateway.batch.job_index import JobEntry, JobIndex
 from gentiantrestle.gateway.batch.records import (
     BODY_KIND,
+    CANCELLED,
     DONE,
-    ENDED,
     JOB_KIND,
     RESULT_KIND,
     bodies_to_content,
@@ -163,13 +163,13 @@
 
         Raises ``StoreUnavailableError`` and ``StoreOutcomeUnknownError``.
         """
-        return await self._set_state(job_id, ENDED)
+        return await self._set_state(job_id, CANCELLED)
 
     async def mark_done(self, job_id: str) -> None:
         """Mark a job whose items all have results as done.
 
-        Store failures are only logged: without the mark, instances just have to
-        read the job's results again.
+        Store failures are only logged: if the state is not stored, instances
+        have to read the job's results again.
         """
         try:
             await self._set_state(job_id, DONE)
@@ -268,14 +268,14 @@
             if await self._store.put_status(JOB_KIND, stored, status):
                 break
             stored = await self._store.get(JOB_KIND, job_id)
-        if stored is not None and state == ENDED:
+        if stored is not None and state == CANCELLED:
             self.index.cancel(job_id)
         return stored is not None
 
     def _is_final(self, stored: StoredObject) -> bool:
-        """Update the index; tell whether the state is final or unreadable."""
+        """Update the index; return whether the state is final or unreadable."""
         entry = self.apply(stored)
-        return entry is None or entry.job.done or _state_of(stored) == ENDED
+        return entry is None or entry.job.done or _state_of(stored) == CANCELLED
 
 
 def _state_of(stored: StoredObject) -> str:
--- a/gentiantrestle/gateway/batch/records.py
+++ b/gentiantrestle/gateway/batch/records.py
@@ -9,7 +9,7 @@
 JOB_KIND = 'batch-jobs'
 BODY_KIND = 'batch-bodies'
 RESULT_KIND = 'batch-results'
-ENDED = 'ended'  # cancelled by the client
+CANCELLED = 'ended'  # by the client
 DONE = 'done'  # every item has a result
 
 
@@ -71,7 +71,7 @@
             ItemSpec(name, tokens) for name, tokens in content['items']
         ),
         version=content['version'],
-        cancelled=state == ENDED,
+        cancelled=state == CANCELLED,
         done=state == DONE,
     )
     return JobRecord(job, stored)
--- a/gentiantrestle/gateway/batch/result_reader.py
+++ b/gentiantrestle/gateway/batch/result_reader.py
@@ -24,7 +24,7 @@
         """Read from ``job_store`` only, until ``fetch_from_peer`` is set.
 
         ``fetch_from_peer`` reads a job's results from another instance, and
-        returns False if that can't give them.
+        returns False if that one can't give them.
         """
         self._job_store = job_store
         self._runner = runner
@@ -35,10 +35,10 @@
         )
 
     def is_current(self, entry: JobEntry) -> bool:
-        """Tell whether memory is sure to hold all stored results of a job.
+        """Return whether memory is sure to hold all stored results of a job.
 
         That is so for jobs that this process accepted, unless another instance
-        may have taken them over without this one having heard of it.
+        may have taken them over without this one knowing.
         """
         no_losses = self._peers.no_recent_losses(self._now())
         return entry.sole_writer and no_losses and not self._runner.stopping
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -74,7 +74,7 @@
         self._woken.set()
 
     def owns(self, entry: JobEntry) -> bool:
-        """Tell whether this instance runs a job."""
+        """Return whether this instance runs a job."""
         uptime = self._context.clock.now() - self._started
         return owns_job(entry, self._instance, self.live_instances(), uptime)
 
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -25,7 +25,7 @@
 SLOTS_PER_RESERVED_SLOT = 24
 # Wall clocks may step by seconds; retention must not end early for that.
 CLOCK_TOLERANCE = 5.0  # seconds
-SMOOTHING = 0.1
+SMOOTHING = 0.1  # weight of a new sample in the moving average
 INITIAL_PACE = 0.003  # seconds a token, assumed until an item has finished
 
 
@@ -39,7 +39,7 @@
 
     @property
     def priority_key(self) -> tuple[bool, int]:
-        """Order items: those that can be in time, the shortest first."""
+        """Sort key: items that can be in time first, then by tokens left."""
         return self.slack < 0, self.tokens_left
 
 
@@ -90,10 +90,10 @@
     alive: Iterable[str],
     uptime: float,
 ) -> bool:
-    """Tell whether this instance, started ``uptime`` s ago, runs a job.
+    """Return whether this instance, started ``uptime`` s ago, runs a job.
 
-    An instance that has just started has not heard from the others yet, so it
-    must not take their jobs over.
+    An instance that has just started may not have received datagrams from the
+    others yet, so it must not take their jobs over.
     """
     if entry.job.acceptor == instance:
         return True
@@ -112,7 +112,7 @@
 
 
 def is_preemptible(slack: float) -> bool:
-    """Tell whether a running item may be preempted by a request.
+    """Return whether a running item may be preempted by a request.
 
     A late item loses nothing by it; one with enough slack can be resumed on
     another upstream in time.
@@ -121,7 +121,7 @@
 
 
 def preemption_key(slack: float) -> tuple[bool, float]:
-    """Order items for preemption: the highest key is preempted first."""
+    """Sort key for preemption: the item with the highest key goes first."""
     return slack < 0, slack
 
 
@@ -131,7 +131,7 @@
     version: int,
     wall: float,
 ) -> bool:
-    """Tell whether a job's unfinished items need not be run any more.
+    """Return whether a job's unfinished items need not be run any more.
 
     That is so if its route is missing in a configuration at least as new as
     the one it was accepted under, or if its retention is over on the clock of
--- a/gentiantrestle/gateway/fleet_state.py
+++ b/gentiantrestle/gateway/fleet_state.py
@@ -28,7 +28,7 @@
         self._now = now
         self.config: StoredObject | None = None
         self.upstreams: dict[str, StoredObject] = {}
-        # Equal on all instances that have the same entries.
+        # Equal on instances whose entries have the same names and revisions.
         self.upstreams_fingerprint = 0
         self.on_change: Callable[[], None] = _nothing
 
--- a/gentiantrestle/gateway/follower.py
+++ b/gentiantrestle/gateway/follower.py
@@ -36,13 +36,13 @@
 
 
 class StoreHandlers(NamedTuple):
-    """What a follower calls with what it reads."""
+    """Callbacks of a follower."""
 
-    # All objects of the kind, and the revision of the list.
+    # Called with all objects of the kind, and the revision of the list.
     replace: Callable[[Iterable[StoredObject], int], None]
-    # Changed objects, and the revision that they lead to.
+    # Called with changed objects, and the revision that they lead to.
     change: Callable[[Iterable[StoredObject], int], None]
-    # The store did not answer.
+    # Called when the store did not answer.
     disconnected: Callable[[], None]
     # Returns the revision up to which all changes are known, from the store
     # or from other instances; NO_REVISION if none is.
@@ -53,7 +53,7 @@
     """Which kind is followed, and how."""
 
     kind: str
-    # After changes, so that a series of them is read with one call.
+    # Pause after changes, so that a series of them is read with one call.
     pause: float  # seconds
     max_wait: float = WATCH_WAIT  # seconds that one watch waits
     # Read once at the start even if another instance watches: callers wait
@@ -155,7 +155,7 @@
         )
 
     def _reset(self) -> None:
-        """Start from what is known by then when the gate is set again."""
+        """Have the next step start from the revision known by then."""
         self._revision = None
         self.connected = False
 
--- a/gentiantrestle/gateway/forward.py
+++ b/gentiantrestle/gateway/forward.py
@@ -42,7 +42,7 @@
 
 
 class ForwardingContext(NamedTuple):
-    """What a forwarder works with; ``now`` is a monotonic clock in s."""
+    """Dependencies of a forwarder; ``now`` returns a monotonic time in s."""
 
     admission: Admission
     placement: Placement
--- a/gentiantrestle/gateway/gossip_messages.py
+++ b/gentiantrestle/gateway/gossip_messages.py
@@ -14,16 +14,16 @@
 class InstanceStatus(NamedTuple):
     """What this instance sends about itself, besides its loads.
 
-    ``waiting`` counts callers waiting for a slot; ``ended_jobs`` are jobs
-    that callers ended here lately, ``taken_over_runs`` the runs of other
-    instances whose jobs this one runs now.
+    ``waiting`` counts callers waiting for a slot; ``cancelled_jobs`` are the
+    jobs that were cancelled last at this instance, and ``taken_over_runs`` the
+    runs of instances whose jobs this one took over last.
     """
 
     leaving: bool
     config_version: int
     store_reached: bool
     waiting: int
-    ended_jobs: tuple[str, ...]
+    cancelled_jobs: tuple[str, ...]
     taken_over_runs: tuple[str, ...]
     batch_backlog: BatchBacklog
     upstreams_revision: int
@@ -40,14 +40,14 @@
 
 
 class JobNotices(NamedTuple):
-    """What a pulse says of jobs: ids of ended ones, and runs taken over."""
+    """Ids of cancelled jobs, and runs taken over, as listed in a pulse."""
 
-    ended_jobs: tuple[str, ...]
+    cancelled_jobs: tuple[str, ...]
     taken_over_runs: tuple[str, ...]
 
 
 class Identity(NamedTuple):
-    """Who this instance is; the incarnation grows with each start.
+    """Identity of this instance; ``incarnation`` grows with each start.
 
     ``port`` is that of the traffic between instances, the same on all hosts.
     """
@@ -94,7 +94,7 @@
         waiting=status.waiting,
         loads=_pack_loads(details.loads),
         hosts=details.hosts,
-        ended=list(status.ended_jobs),
+        ended=list(status.cancelled_jobs),
         taken=list(status.taken_over_runs),
         batch_waiting=status.batch_backlog.count,
         batch_spare=int(status.batch_backlog.slack * MS_PER_S),
--- a/gentiantrestle/gateway/http_server.py
+++ b/gentiantrestle/gateway/http_server.py
@@ -32,8 +32,8 @@
 class Exchange:
     """One request of a caller and its one response.
 
-    ``started`` and ``finished`` tell how far the response has been sent.
-    With ``close_after`` it announces the end of the connection.
+    ``started`` is set when sending the response begins, ``finished`` when it
+    is complete. With ``close_after`` it has the field Connection: close.
     """
 
     def __init__(self, link: Link, head: h11.Request, body: bytes) -> None:
@@ -104,9 +104,9 @@
 
 
 class HttpServer:
-    """Serves callers; can stop without cutting a request.
+    """Serves callers; can stop without cutting off a request.
 
-    While ``stopping`` is set, each response ends its connection.
+    A request read while ``stopping`` is set is the last of its connection.
     """
 
     def __init__(
@@ -115,7 +115,7 @@
         write_refusal: RefusalWriter,
         limits: Callable[[], CallerLimits],
     ) -> None:
-        """Answer with ``handle``; ``limits`` returns those in force."""
+        """Answer with ``handle``; ``limits`` returns the limits in force."""
         self._handle = handle
         self._write_refusal = write_refusal
         self._limits = limits
--- a/gentiantrestle/gateway/model.py
+++ b/gentiantrestle/gateway/model.py
@@ -54,7 +54,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may be executed more than once."""
+        """Return whether a request may be executed more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.SAFE
@@ -103,7 +103,7 @@
 class Request(NamedTuple):
     """A caller's request; times are monotonic, in s.
 
-    ``is_retry`` tells that the caller has probably been refused before, and
+    ``is_retry`` means that the caller has probably been refused before, and
     ``last_event`` is the id of the last event that it has received, or 0.
     """
 
@@ -158,7 +158,7 @@
 
 
 class ItemResult(NamedTuple):
-    """The result of one item; ``output`` is empty if it was given up."""
+    """The result of one item; ``output`` is empty if the item failed."""
 
     id: str
     completed: bool
--- a/gentiantrestle/gateway/peer_calls.py
+++ b/gentiantrestle/gateway/peer_calls.py
@@ -68,7 +68,8 @@
     async def fetch_results(self, peer: Peer, entry: JobEntry) -> bool:
         """Add a job's new results from the instance that runs it.
 
-        Returns False if that instance didn't answer or can't tell.
+        Returns False if that instance doesn't answer, or may not know all
+        results.
         """
         request = ttypes.ResultsRequest(entry.job.id, len(entry.results))
         try:
--- a/gentiantrestle/gateway/peering.py
+++ b/gentiantrestle/gateway/peering.py
@@ -22,8 +22,8 @@
 from gentiantrestle.gateway.zone_watcher import CopySourceSelector
 from gentiantrestle.supervisor import Child
 
-# Jobs ended here last that each datagram lists.
-MAX_ENDED_JOBS = 8
+# Each datagram lists this many of the jobs cancelled last at this instance.
+MAX_CANCELLED_JOBS = 8
 
 
 class PeeringParts(NamedTuple):
@@ -50,14 +50,14 @@
     ) -> None:
         """Connect ``parts`` to the other instances; nothing is sent yet.
 
-        ``is_connected`` tells whether this instance watches the store and
+        ``is_connected`` returns whether this instance watches the store and
         reaches it.
         """
         self._identity = identity
         self._parts = parts
         self._is_connected = is_connected
         self._now = now
-        self._ended_jobs: deque[str] = deque(maxlen=MAX_ENDED_JOBS)
+        self._cancelled_jobs: deque[str] = deque(maxlen=MAX_CANCELLED_JOBS)
         self._leaving = False
         # Called each time before the peer to copy from is chosen.
         self.before_sync: Callable[[], None] = _nothing
@@ -89,9 +89,9 @@
         self._leaving = True
         self._gossip.announce()
 
-    def announce_ended_job(self, job: str) -> None:
-        """Have the next datagrams say that a caller has ended a job."""
-        self._ended_jobs.append(job)
+    def announce_cancelled_job(self, job: str) -> None:
+        """List a job as cancelled by its client in the next datagrams."""
+        self._cancelled_jobs.append(job)
 
     def _read_status(self) -> InstanceStatus:
         revisions = self._parts.copier.revisions
@@ -100,7 +100,7 @@
             revisions.config_version,
             self._is_connected(),
             self._parts.admission.waiting,
-            tuple(self._ended_jobs),
+            tuple(self._cancelled_jobs),
             tuple(self._parts.runner.taken_over),
             self._parts.runner.backlog,
             revisions.upstreams_revision,
@@ -111,7 +111,7 @@
     def _handle_pulse(self, notices: JobNotices) -> None:
         for run in notices.taken_over_runs:
             self._parts.index.note_takeover(run)
-        for job in notices.ended_jobs:
+        for job in notices.cancelled_jobs:
             self._parts.index.cancel(job)
         self._parts.runner.run_table.preempt_overbooked()
         self._parts.admission.dispatch()
--- a/gentiantrestle/gateway/peers.py
+++ b/gentiantrestle/gateway/peers.py
@@ -33,7 +33,7 @@
 class Peer(NamedTuple):
     """What another instance last sent about itself.
 
-    ``last_heard`` is when that arrived, on this instance's clock, in s.
+    ``received_at`` is when that arrived, on this instance's clock, in s.
     """
 
     instance: str
@@ -44,7 +44,7 @@
     leaving: bool
     config_version: int
     store_reached: bool
-    last_heard: float
+    received_at: float
     upstreams_revision: int = 0
     jobs_revision: int = 0
     upstreams_fingerprint: int = 0
@@ -56,7 +56,7 @@
 
     def is_alive(self, now: float, silence: float = SILENCE_TIMEOUT) -> bool:
         """Return whether a datagram arrived in the last ``silence`` s."""
-        return now - self.last_heard < silence
+        return now - self.received_at < silence
 
 
 def remote_interval(hosts: int) -> float:
@@ -102,7 +102,7 @@
         if known is not None and peer[1:3] <= known[1:3]:
             return False
         self._by_name[peer.instance] = peer
-        self._hosts[peer.host] = peer.last_heard
+        self._hosts[peer.host] = peer.received_at
         self._lost.pop(peer.instance, None)
         return known is None or known.incarnation != peer.incarnation
 
@@ -114,8 +114,8 @@
 
     def hosts(self, now: float) -> list[str]:
         """List the hosts to send to: the seeds and those that aren't silent."""
-        for host, last_heard in tuple(self._hosts.items()):
-            if now - last_heard > FORGET_AFTER:
+        for host, received_at in tuple(self._hosts.items()):
+            if now - received_at > FORGET_AFTER:
                 self._hosts.pop(host)
         return sorted(self._seeds | set(self._hosts))
 
--- a/gentiantrestle/gateway/placement.py
+++ b/gentiantrestle/gateway/placement.py
@@ -2,7 +2,8 @@
 
 Engines run at an even speed until all slots are taken, and queue requests in
 order of arrival after that. So a request goes to a free slot, preferably a
-near one, and to no upstream if none is free.
+near one, and to no upstream if none is free. Only an upstream that runs batch
+work may be overbooked: ``choose_preemptible`` returns one.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,9 +21,10 @@
 # is preempted. The instance that runs the batch work learns of it from the
 # next gossip datagram.
 MAX_OVERBOOKING = 2
-# Random part of an upstream's cost, as a share of its slots. Keeps instances
-# with the same stale loads from all choosing the same upstream, and is as
-# large as the range of loads. tests/gateway/test_load.py compares it with 0.
+# Largest random part of an upstream's cost, as a share of its slots. It is as
+# large as the range of loads, and keeps instances with the same stale loads
+# from all choosing the same upstream. tests/gateway/test_load.py compares it
+# with 0.
 COST_JITTER = 1.0
 # Consecutive failures after which an upstream is suspended. Low, because a
 # refused connection is a reliable sign.
@@ -127,7 +129,9 @@
         """Leave out suspended upstreams, unless all are suspended."""
         listed = list(upstreams)
         usable = [
-            each for each in listed if self.health(each.id).is_usable(now)
+            upstream
+            for upstream in listed
+            if self.health(upstream.id).is_usable(now)
         ]
         return usable or listed
 
--- a/gentiantrestle/gateway/ports.py
+++ b/gentiantrestle/gateway/ports.py
@@ -33,7 +33,7 @@
 class Page(NamedTuple):
     """Part of a list, or the changes since a revision.
 
-    ``revision`` is that of the store; ``more`` tells that the list goes on.
+    ``revision`` is that of the store; ``more`` means that the list goes on.
     """
 
     entries: tuple[StoredObject, ...]
@@ -81,7 +81,7 @@
     """The head of an upstream's response.
 
     ``genuine`` is False for a success that is not proven to come unaltered
-    from an upstream. ``not_run`` tells that the request was not executed,
+    from an upstream. ``not_run`` means that the request was not executed,
     ``wrong_instance`` that it reached another instance than intended.
     """
 
--- a/gentiantrestle/gateway/queueing.py
+++ b/gentiantrestle/gateway/queueing.py
@@ -33,7 +33,7 @@
 def wait_limit(req: Request, route: Route, now: float) -> WaitLimit:
     """Return how long ``req`` may wait for a slot.
 
-    At most half of the time until its deadline.
+    It is at most half of the time until the deadline.
     """
     left = req.deadline - now
     if req.is_retry:
@@ -94,7 +94,7 @@
     def add(
         self, req: Request, limit: WaitLimit, priority: int, now: float
     ) -> QueueEntry:
-        """Queue a request behind the others of its rank and priority."""
+        """Queue a request; ``sort_key`` of the entry decides its place."""
         sort_key = (int(not limit.is_retry), priority, next(self._numbers))
         entry = QueueEntry(sort_key, req, now + limit.seconds)
         heapq.heappush(self._heap, entry)
--- a/gentiantrestle/gateway/request_handler.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -97,8 +97,10 @@
         exchange: Exchange,
     ) -> str:
         if route.kind is RouteKind.BATCH and req.method == POST:
-            terms = Submission(self._clock.wall(), self._router.table.version)
-            answer = await self._api.submit(req, route, terms)
+            submission = Submission(
+                self._clock.wall(), self._router.table.version
+            )
+            answer = await self._api.submit(req, route, submission)
             await _respond(exchange, answer)
             return 'accepted'
         left = req.deadline - req.received
--- a/gentiantrestle/gateway/retrying_store.py
+++ b/gentiantrestle/gateway/retrying_store.py
@@ -1,4 +1,4 @@
-"""Repeats writes to the store whose answers are lost.
+"""Repeats writes to the store whose responses are lost.
 
 The store may carry out a write without answering it, or seconds later. Each
 write is conditional, so the same write sent again either takes effect or finds
@@ -68,14 +68,14 @@
         )
 
     async def put_status(
-        self, kind: str, found: StoredObject, status: Any
+        self, kind: str, stored: StoredObject, status: Any
     ) -> bool:
         """Replace a status; False where the object has changed.
 
-        That may be this call's own change, if its first answer was lost.
+        That may be this call's own change, if its first response was lost.
         """
         return await self._write(
-            found.name, lambda: self._store.put_status(kind, found, status)
+            stored.name, lambda: self._store.put_status(kind, stored, status)
         )
 
     async def delete(self, kind: str, name: str) -> None:
@@ -83,19 +83,19 @@
         await self._write(name, lambda: self._store.delete(kind, name))
 
     async def _write(self, name: str, attempt: Callable[[], Awaitable]) -> Any:
-        unsure: StoreOutcomeUnknownError | None = None
+        unknown_outcome: StoreOutcomeUnknownError | None = None
         for timeout in attempt_timeouts(self._now(), self._now):
             try:
                 async with asyncio.timeout(timeout):
                     return await attempt()
             except StoreUnavailableError as exc:
-                if unsure is None:
+                if unknown_outcome is None:
                     raise
                 await asyncio.sleep(timeout)
                 events.emit(
                     events.STORE_CALL_FAILED, name=name, error=repr(exc)
                 )
             except (StoreOutcomeUnknownError, TimeoutError) as exc:
-                unsure = StoreOutcomeUnknownError(repr(exc))
+                unknown_outcome = StoreOutcomeUnknownError(repr(exc))
                 events.emit(events.WRITE_UNANSWERED, name=name)
-        raise unsure
+        raise unknown_outcome
--- a/gentiantrestle/gateway/roster.py
+++ b/gentiantrestle/gateway/roster.py
@@ -22,7 +22,7 @@
 
 
 class Roster:
-    """The upstreams by id; tells upstreams that left from lapsed entries."""
+    """The upstreams by id, listed in the store or lapsed during an outage."""
 
     def __init__(self) -> None:
         """Start empty; nothing is known of the store yet."""
--- a/gentiantrestle/gateway/routing.py
+++ b/gentiantrestle/gateway/routing.py
@@ -17,11 +17,11 @@
 
     @property
     def has_config(self) -> bool:
-        """Tell whether a configuration is in force."""
+        """Return whether a configuration is in force."""
         return self.table.version > 0
 
     def apply(self, table: RoutingTable) -> bool:
-        """Put ``table`` in force if it is newer; tell whether it is."""
+        """Put ``table`` in force if it is newer; return whether it is."""
         if table.version <= self.table.version:
             return False
         hosts: dict[str, list[Route]] = {}
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -64,11 +64,11 @@
         self._state = FleetState(
             adapter.documents, adapter.kinds.config_name, self._clock.now
         )
-        self._state.on_change = self._wake_work
+        self._state.on_change = self._dispatch_work
         components = build_components(
             cfg.topology, adapter, self._state, self._clock, self._run_name
         )
-        self._parts = components.parts
+        self._batch_context = components.batch_context
         self._admission = components.admission
         self._runner = components.runner
         self._peers = PeerList(
@@ -85,7 +85,7 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer may send callers to this instance."""
+        """Return whether the balancer may send callers to this instance."""
         return self._state.router.has_config and not self._runner.stopping
 
     async def run(self) -> None:
@@ -135,9 +135,9 @@
             self._apply_jobs,
             self._apply_jobs,
             _keep_jobs,
-            lambda: self._parts.index.revision,
+            lambda: self._batch_context.index.revision,
         )
-        sinks = (
+        followed = (
             (
                 WatchSpec(kinds.config, CONFIG_WATCH_PAUSE, read_at_start=True),
                 config,
@@ -150,13 +150,13 @@
             ),
             (WatchSpec(JOB_KIND, JOB_WATCH_PAUSE), jobs),
         )
-        for subject, sink in sinks:
+        for spec, handlers in followed:
             yield (
-                subject.kind,
+                spec.kind,
                 Follower(
                     self._adapter.store,
-                    subject,
-                    sink,
+                    spec,
+                    handlers,
                     self._rng,
                     self._watch_gate,
                 ),
@@ -168,37 +168,39 @@
             self._clock.now()
         )
         reader = ResultReader(
-            self._parts.job_store, self._runner, peers, self._clock.now
+            self._batch_context.job_store, self._runner, peers, self._clock.now
         )
         self._reader = reader
-        work = PeeringParts(
-            StateCopier(self._state, self._parts.job_store, self._clock.now),
-            self._parts.board,
+        parts = PeeringParts(
+            StateCopier(
+                self._state, self._batch_context.job_store, self._clock.now
+            ),
+            self._batch_context.board,
             self._admission,
-            self._parts.index,
+            self._batch_context.index,
             self._runner,
             reader,
         )
         peering = Peering(
-            self._identity, peers, work, self._is_connected, self._clock.now
+            self._identity, peers, parts, self._is_connected, self._clock.now
         )
-        peering.before_sync = self._update_watch_duty
+        peering.before_sync = self._update_watcher_role
         return peering
 
     def _is_connected(self) -> bool:
-        """Tell whether this instance watches the store and reaches it."""
+        """Return whether this instance watches the store and reaches it."""
         return all(follower.connected for follower in self._followers.values())
 
-    def _update_watch_duty(self) -> None:
+    def _update_watcher_role(self) -> None:
         """Start or stop watching the store on behalf of the zone."""
         now = self._clock.now()
-        duty = self._watcher_election.decide(
+        is_watcher = self._watcher_election.decide(
             self._peers.alive(now), now, connected=self._is_connected()
         )
-        if duty == self._watch_gate.is_set():
+        if is_watcher == self._watch_gate.is_set():
             return
-        events.emit(events.WATCHER_ROLE_CHANGED, held=duty)
-        if duty:
+        events.emit(events.WATCHER_ROLE_CHANGED, held=is_watcher)
+        if is_watcher:
             self._watch_gate.set()
         else:
             self._watch_gate.clear()
@@ -206,10 +208,15 @@
     def _build_server(self) -> HttpServer:
         dialect = self._adapter.dialect
         context = ForwardingContext(
-            self._admission, self._parts.placement, dialect, self._clock.now
+            self._admission,
+            self._batch_context.placement,
+            dialect,
+            self._clock.now,
+        )
+        api = JobApi(
+            self._batch_context, self._runner, self._reader, self._run_name
         )
-        api = JobApi(self._parts, self._runner, self._reader, self._run_name)
-        api.on_cancel = self._peering.announce_ended_job
+        api.on_cancel = self._peering.announce_cancelled_job
         request_handler = RequestHandler(
             self._state.router, Forwarder(context), api, dialect, self._clock
         )
@@ -254,10 +261,10 @@
     def _apply_jobs(
         self, stored: Iterable[StoredObject], revision: int
     ) -> None:
-        self._parts.job_store.apply_changes(stored, revision)
+        self._batch_context.job_store.apply_changes(stored, revision)
         self._runner.wake()
 
-    def _wake_work(self) -> None:
+    def _dispatch_work(self) -> None:
         self._admission.dispatch()
         self._runner.wake()
 
--- a/gentiantrestle/gateway/zone_watcher.py
+++ b/gentiantrestle/gateway/zone_watcher.py
@@ -15,7 +15,7 @@
 # watcher.
 WATCHER_SILENCE = 1.0  # seconds until a silent watcher is replaced
 # All instances start within 0.3 s of each other.
-START_WAIT = 0.6  # seconds for a new instance to hear from the others
+START_WAIT = 0.6  # seconds for a new instance to receive datagrams
 RANK_STEP = 0.4  # seconds that each next candidate waits longer
 # If the first candidates fail, the store is likely down for all. The others
 # try as well, but later, since each try is a call that the store counts.
@@ -44,7 +44,7 @@
     """Decides whether this instance watches the store for its zone."""
 
     def __init__(self, instance: str, zone: str, started_at: float) -> None:
-        """Don't watch until the others had time to be heard."""
+        """Don't watch for ``START_WAIT``, so that datagrams arrive first."""
         self._instance = instance
         self._zone = zone
         self._vacant_since = started_at + START_WAIT
@@ -57,7 +57,9 @@
         *,
         connected: bool,
     ) -> bool:
-        """Return whether to watch; ``connected`` if the store answers here.
+        """Return whether to watch.
+
+        ``connected``: this instance watches the store and reaches it.
 
         Of two watchers that reach the store the first by name goes on. Where
         there is none, the instances start to watch one after the other, by
@@ -68,7 +70,7 @@
             for peer in peers
             if peer.zone == self._zone
             and not peer.leaving
-            and now - peer.last_heard < WATCHER_SILENCE
+            and now - peer.received_at < WATCHER_SILENCE
         ]
         watchers = [peer for peer in candidates if peer.store_reached]
         if self.is_watcher and connected:
@@ -111,13 +113,13 @@
 class CopySourceSelector:
     """Chooses the instance from which newer state is copied."""
 
-    def __init__(self, zone: str, chance: Callable[[], float]) -> None:
+    def __init__(self, zone: str, rand: Callable[[], float]) -> None:
         """Prefer the watcher of ``zone``.
 
-        ``chance`` returns random numbers from 0 up to but not including 1.
+        ``rand`` returns random numbers from 0 up to but not including 1.
         """
         self._zone = zone
-        self._chance = chance
+        self._rand = rand
         self._behind_since = NEVER
         self._jobs_lag = LagTracker()
 
@@ -132,10 +134,12 @@
         That is the zone's watcher if it is ahead of ``known``, or a random
         instance that is ahead if this one has been behind for too long.
         """
-        every = list(peers)
-        urgent = [peer for peer in every if _is_ahead(peer, known)]
+        all_peers = list(peers)
+        urgent = [peer for peer in all_peers if _is_ahead(peer, known)]
         jobs = [
-            peer for peer in every if peer.jobs_revision > known.jobs_revision
+            peer
+            for peer in all_peers
+            if peer.jobs_revision > known.jobs_revision
         ]
         self._behind_since = min(self._behind_since, now) if urgent else NEVER
         if now - self._behind_since >= URGENT_LAG:
@@ -150,7 +154,7 @@
         return peer.zone == self._zone and peer.store_reached
 
     def _pick(self, candidates: list[Peer]) -> Peer:
-        return candidates[int(self._chance() * len(candidates))]
+        return candidates[int(self._rand() * len(candidates))]
 
 
 def _is_ahead(peer: Peer, known: Revisions) -> bool:
--- a/gentiantrestle/platform/dialect.py
+++ b/gentiantrestle/platform/dialect.py
@@ -113,14 +113,14 @@
 
     def upstream_headers(
         self,
-        call: Request,
+        req: Request,
         upstream: Upstream,
         left: float,
         last_event: int,
     ) -> list[tuple[bytes, bytes]]:
         """Return the header for an upstream; ``left`` is the time left in s."""
         return [
-            *call.headers,
+            *req.headers,
             (TIME_LEFT, str(max(1, int(left / MS))).encode()),
             *_upstream_fields(upstream, last_event),
         ]
--- a/gentiantrestle/platform/object_client.py
+++ b/gentiantrestle/platform/object_client.py
@@ -94,14 +94,14 @@
         return status != CONFLICT
 
     async def put_status(
-        self, kind: str, found: StoredObject, status: Any
+        self, kind: str, stored: StoredObject, status: Any
     ) -> bool:
         """Replace a status; return False if the object changed or is gone."""
         document = {
-            'metadata': {'name': found.name, 'revision': found.revision},
+            'metadata': {'name': stored.name, 'revision': stored.revision},
             'status': status,
         }
-        path = f'{_path(kind, found.name)}/status'
+        path = f'{_path(kind, stored.name)}/status'
         status_code, _ = await self._call('PUT', path, body=document)
         return status_code not in {CONFLICT, NOT_FOUND}
 
--- a/gentiantrestle/platform/readiness.py
+++ b/gentiantrestle/platform/readiness.py
@@ -9,7 +9,7 @@
 
 
 class ReadinessEndpoint:
-    """Tells the load balancer whether to send callers to this instance."""
+    """Readiness check: whether callers may be sent to this instance."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         """Call ``ready`` for each check."""
--- a/gentiantrestle/platform/roles.py
+++ b/gentiantrestle/platform/roles.py
@@ -133,7 +133,7 @@
         loop.add_signal_handler(
             signum, _set_stop_signal, stop_signal, signum.name
         )
-    # Settings that may change while a process runs are not read again.
+    # The settings are read at the start only; a reload request is logged.
     loop.add_signal_handler(signal.SIGHUP, _log_reload)
     return stop_signal
 
--- a/tests/gateway/memory.py
+++ b/tests/gateway/memory.py
@@ -18,7 +18,7 @@
         self.revision = 1
         self.kinds: dict[str, dict[str, StoredObject]] = {}
         self.down = False
-        self.lose_answers = 0
+        self.lose_responses = 0
         self.calls: list[str] = []
         self.compacted = 0
         self._changes: list[tuple[str, StoredObject]] = []
@@ -27,13 +27,13 @@
         self, kind: str, after: str, *, stale: bool = False
     ) -> Page:
         """List everything in one page."""
-        self._begin('list')
+        self._start_call('list')
         found = tuple(self.kinds.get(kind, {}).values())
         return Page(found, self.revision)
 
     async def watch(self, kind: str, revision: int, wait: float) -> Page:
         """Return the changes since a revision, or wait the whole time."""
-        self._begin('watch')
+        self._start_call('watch')
         if revision < self.compacted:
             raise HistoryGoneError(kind)
         found = self._since(kind, revision)
@@ -44,33 +44,33 @@
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
-        self._begin('get')
+        self._start_call('get')
         return self.kinds.get(kind, {}).get(name)
 
     async def create(self, kind: str, name: str, content: Any) -> bool:
         """Create an object; return False if it exists."""
-        self._begin('create')
+        self._start_call('create')
         if name in self.kinds.setdefault(kind, {}):
             return False
         self.write(kind, StoredObject(name, 0, content))
-        self._end()
+        self._finish_call()
         return True
 
     async def put_status(
-        self, kind: str, found: StoredObject, status: Any
+        self, kind: str, stored: StoredObject, status: Any
     ) -> bool:
         """Replace a status; return False if the revision has changed."""
-        self._begin('status')
-        known = self.kinds.get(kind, {}).get(found.name)
-        if known is None or known.revision != found.revision:
+        self._start_call('status')
+        known = self.kinds.get(kind, {}).get(stored.name)
+        if known is None or known.revision != stored.revision:
             return False
         self.write(kind, known._replace(status=status))
-        self._end()
+        self._finish_call()
         return True
 
     async def delete(self, kind: str, name: str) -> None:
         """Delete an object."""
-        self._begin('delete')
+        self._start_call('delete')
         gone = self.kinds.get(kind, {}).pop(name, None)
         if gone is not None:
             self.revision += 1
@@ -96,12 +96,12 @@
             if changed == kind and stored.revision > revision
         )
 
-    def _begin(self, verb: str) -> None:
+    def _start_call(self, verb: str) -> None:
         self.calls.append(verb)
         if self.down:
             raise StoreUnavailableError('down')
 
-    def _end(self) -> None:
-        if self.lose_answers:
-            self.lose_answers -= 1
+    def _finish_call(self) -> None:
+        if self.lose_responses:
+            self.lose_responses -= 1
             raise StoreOutcomeUnknownError('lost')
--- a/tests/gateway/test_batch.py
+++ b/tests/gateway/test_batch.py
@@ -39,7 +39,7 @@
 from tests.utils.virtual_time import run_virtual
 
 
-def _instance(store: MemoryStore) -> tuple[JobStore, JobIndex]:
+def _make_job_store(store: MemoryStore) -> tuple[JobStore, JobIndex]:
     index = JobIndex()
     return JobStore(store, index, random.Random(1), lambda: 0), index
 
@@ -63,9 +63,9 @@
 
 async def test_other_instance_reads_bodies_from_store() -> None:
     store = MemoryStore()
-    job_store, _ = _instance(store)
+    job_store, _ = _make_job_store(store)
     await job_store.accept(make_job())
-    other, _ = _instance(store)
+    other, _ = _make_job_store(store)
     entry = await other.find('job1')
     assert entry is not None
     assert entry.body('job1-0') is None
@@ -75,16 +75,16 @@
 
 async def test_accept_is_true_only_on_the_first_of_two_instances() -> None:
     store = MemoryStore()
-    first, _ = _instance(store)
-    second, _ = _instance(store)
+    first, _ = _make_job_store(store)
+    second, _ = _make_job_store(store)
     assert await first.accept(make_job())
     assert not await second.accept(make_job())
 
 
-async def test_accept_is_unsure_while_store_responses_are_lost() -> None:
+async def test_accept_raises_while_store_responses_are_lost() -> None:
     store = MemoryStore()
-    job_store, _ = _instance(store)
-    store.lose_answers = 2
+    job_store, _ = _make_job_store(store)
+    store.lose_responses = 2
     for _ in range(2):
         with pytest.raises(StoreOutcomeUnknownError):
             await job_store.accept(make_job())
@@ -93,8 +93,8 @@
 
 async def test_first_stored_result_wins_when_two_instances_run_a_job() -> None:
     store = MemoryStore()
-    first, first_index = _instance(store)
-    second, second_index = _instance(store)
+    first, first_index = _make_job_store(store)
+    second, second_index = _make_job_store(store)
     await first.accept(make_job())
     await second.find('job1')
     await first.store_results(
@@ -111,9 +111,9 @@
 def test_results_are_stored_once_after_a_lost_store_response() -> None:
     async def run() -> MemoryStore:
         store = MemoryStore()
-        job_store, index = _instance(store)
+        job_store, index = _make_job_store(store)
         await job_store.accept(make_job())
-        store.lose_answers = 1
+        store.lose_responses = 1
         await job_store.store_results(index.entries['job1'], (_result(0),))
         return store
 
@@ -123,10 +123,10 @@
 
 async def test_only_the_run_that_accepted_a_job_is_its_sole_writer() -> None:
     store = MemoryStore()
-    job_store, index = _instance(store)
+    job_store, index = _make_job_store(store)
     await job_store.accept(make_job())
     assert index.entries['job1'].sole_writer
-    restarted, _ = _instance(store)
+    restarted, _ = _make_job_store(store)
     entry = await restarted.find('job1')
     assert entry is not None
     assert not entry.results_loaded
@@ -139,7 +139,7 @@
 
 async def test_cancelled_job_keeps_its_results() -> None:
     store = MemoryStore()
-    job_store, index = _instance(store)
+    job_store, index = _make_job_store(store)
     await job_store.accept(make_job())
     await job_store.store_results(index.entries['job1'], (_result(0),))
     assert await job_store.cancel('job1')
@@ -151,7 +151,7 @@
 
 async def test_cancel_raises_while_store_is_unavailable() -> None:
     store = MemoryStore()
-    job_store, _ = _instance(store)
+    job_store, _ = _make_job_store(store)
     store.down = True
     with pytest.raises(StoreUnavailableError):
         await job_store.cancel('job1')
@@ -159,7 +159,7 @@
 
 async def test_find_returns_none_for_a_malformed_job() -> None:
     store = MemoryStore()
-    job_store, _ = _instance(store)
+    job_store, _ = _make_job_store(store)
     store.write(JOB_KIND, StoredObject('odd', 0, {'items': 7}))
     assert await job_store.find('odd') is None
 
@@ -206,10 +206,10 @@
 
 def test_start_budget_leaves_slots_to_items_with_less_slack() -> None:
     board = LoadBoard()
-    mine = BatchBacklog(3, 4.0)
+    own_backlog = BatchBacklog(3, 4.0)
     board.set_peer_report('tighter', LoadReport(0, {}, 0, BatchBacklog(2, 1.0)))
     board.set_peer_report('later', LoadReport(0, {}, 0, BatchBacklog(9, -1.0)))
-    ahead = board.batch_ahead(mine, 0)
+    ahead = board.batch_ahead(own_backlog, 0)
     assert ahead == 2
     assert start_budget(free=2, slots=8, ahead=ahead) == 0
     assert start_budget(free=5, slots=8, ahead=ahead) == 3
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -228,16 +228,16 @@
     assert peers.working_runs(SILENCE_TIMEOUT + 1) == ()
 
 
-def test_not_settled_from_loss_of_instance_until_its_return() -> None:
+def test_loss_of_instance_counts_as_recent_until_its_return() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
     peers.update(_make_peer('1'))
     peers.remove_silent(SILENCE_TIMEOUT + 1)
     assert not peers.no_recent_losses(10)
-    peers.update(_make_peer('1', incarnation=2, last_heard=11))
+    peers.update(_make_peer('1', incarnation=2, received_at=11))
     assert peers.no_recent_losses(11)
 
 
-def test_settled_after_announced_leave_of_instance() -> None:
+def test_instance_that_announced_its_leave_is_not_a_loss() -> None:
     peers = PeerList('me', '10.0.0.9', 'a1', ())
     peers.update(_make_peer('1', leaving=True))
     assert peers.working_runs(0) == ()
@@ -255,7 +255,7 @@
     assert schedule.is_due('b', interval, 0.05 + MAX_INTERVAL)
 
 
-def test_change_waits_longer_with_many_far_instances() -> None:
+def test_change_waits_longer_with_many_remote_instances() -> None:
     schedule = SendSchedule()
     interval = remote_interval(53)
     assert interval > 1
@@ -279,20 +279,20 @@
     assert len(peers.remove_silent(remote_silence_timeout(53) + 0.1)) == 53
 
 
-def test_speakers_are_first_live_instances_even_without_store() -> None:
+def test_aggregators_are_first_live_instances_even_without_store() -> None:
     peers = PeerList('m', '10.0.0.9', 'a1', ())
     for name, zone in (('n', 'a1'), ('x', 'b1'), ('y', 'b1'), ('z', 'b1')):
         peers.update(_make_peer(name, zone=zone, store_reached=False))
     assert peers.is_aggregator(1)
     assert [peer.instance for peer in peers.remote_aggregators(1)] == ['x', 'y']
-    peers.update(_make_peer('a', last_heard=1))
+    peers.update(_make_peer('a', received_at=1))
     assert not peers.is_aggregator(1)
     assert peers.is_aggregator(1 + SILENCE_TIMEOUT)
-    peers.update(_make_peer('a', sequence=2, last_heard=1, leaving=True))
+    peers.update(_make_peer('a', sequence=2, received_at=1, leaving=True))
     assert peers.is_aggregator(1)
 
 
-def test_sum_of_loads_skips_stale_peers_and_keeps_tightest_batch() -> None:
+def test_sum_of_loads_skips_stale_peers_and_keeps_most_urgent_backlog() -> None:
     board = LoadBoard()
     board.set_peer_report(
         'a', LoadReport(0, {'u1': Load(1, 2)}, 3, BatchBacklog(4, 2.0))
--- a/tests/gateway/test_follow.py
+++ b/tests/gateway/test_follow.py
@@ -1,4 +1,4 @@
-"""When a follower asks the store: with a closed gate, and at the start."""
+"""When a follower calls the store: with a closed gate, and at the start."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class _Copy:
-    """What a follower has read."""
+    """Names and revision that a follower has read."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -145,7 +145,11 @@
 
 def in_time(outcomes: list[Outcome]) -> float:
     """Return the share of callers that were served within the target."""
-    good = [each for each in outcomes if each.served and each.waited <= TARGET]
+    good = [
+        outcome
+        for outcome in outcomes
+        if outcome.served and outcome.waited <= TARGET
+    ]
     return len(good) / len(outcomes)
 
 
@@ -162,12 +166,12 @@
 @pytest.mark.parametrize('share', [1.3, 2.0])
 def test_requests_above_capacity_are_refused_early(share: float) -> None:
     outcomes = simulate_load(share)
-    refused = [each.waited for each in outcomes if not each.served]
+    refused = [outcome.waited for outcome in outcomes if not outcome.served]
     assert refused
     assert max(refused) <= TARGET
     # Most are refused on arrival; the others could expect a slot in time.
     assert median(refused) <= EARLY_REFUSAL
-    served = sum(each.served for each in outcomes)
+    served = sum(outcome.served for outcome in outcomes)
     assert served >= 0.9 * CAPACITY * SIMULATED_TIME
 
 
--- a/tests/gateway/test_process_jobs.py
+++ b/tests/gateway/test_process_jobs.py
@@ -97,12 +97,12 @@
 
 
 async def busy(fleet: GatewayFleet) -> bool:
-    """Tell whether an upstream is running a request or item."""
+    """Return whether an upstream is running a request or item."""
     return not await idle(fleet)
 
 
 async def idle(fleet: GatewayFleet) -> bool:
-    """Tell whether no upstream is running anything."""
+    """Return whether no upstream is running anything."""
     return not any(run['active'] for run in await fleet.runs())
 
 
@@ -131,7 +131,7 @@
     assert len(await fleet.runs()) == 1
 
 
-async def test_submit_is_unsure_while_all_store_responses_are_lost(
+async def test_submit_has_unknown_outcome_while_all_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
     await fleet.harm_store(lose=99, silence=30)
--- a/tests/gateway/test_retirement.py
+++ b/tests/gateway/test_retirement.py
@@ -1,4 +1,4 @@
-"""Requests to empty a storage instance are answered."""
+"""Which instance answers requests to empty a storage instance, and when."""
 
 import asyncio
 
@@ -14,8 +14,11 @@
 DONE = {'state': 'done'}
 
 
-def _play(instance: str, *, down: float = 0) -> dict[float, object]:
-    """Return the status of a request to empty ``s1``, by time in s."""
+def _statuses(instance: str, *, down: float = 0) -> dict[float, object]:
+    """Return the status of a request to empty ``s1`` after 1 s and 4 s.
+
+    The store is down until the first of these times if ``down`` is not 0.
+    """
 
     async def run() -> dict[float, object]:
         store = MemoryStore()
@@ -34,13 +37,13 @@
 
 
 def test_instance_answers_its_own_request_at_once() -> None:
-    assert _play('s1')[1.0] == DONE
+    assert _statuses('s1')[1.0] == DONE
 
 
 def test_other_instance_answers_after_waiting() -> None:
     assert OWN_ANSWER_WAIT > 1
-    assert _play('s2') == {1.0: None, 4.0: DONE}
+    assert _statuses('s2') == {1.0: None, 4.0: DONE}
 
 
 def test_request_is_answered_after_store_outage() -> None:
-    assert _play('s1', down=1) == {1.0: None, 4.0: DONE}
+    assert _statuses('s1', down=1) == {1.0: None, 4.0: DONE}
--- a/tests/gateway/test_settling.py
+++ b/tests/gateway/test_settling.py
@@ -1,4 +1,4 @@
-"""Writes whose answers are lost are repeated while the caller waits."""
+"""Writes whose responses are lost are repeated while the caller waits."""
 
 import asyncio
 from typing import Any
@@ -85,14 +85,14 @@
     assert store.kinds[KIND]['one'].content == 1
 
 
-def test_create_that_is_never_answered_raises_unsure() -> None:
+def test_create_that_is_never_answered_raises_outcome_unknown() -> None:
     store = LossyStore(99, 'now')
     with pytest.raises(StoreOutcomeUnknownError):
         _create(store)
     assert store.calls.count('silent') > 1
 
 
-def test_store_down_after_unanswered_create_raises_unsure() -> None:
+def test_store_down_after_unanswered_create_raises_outcome_unknown() -> None:
     with pytest.raises(StoreOutcomeUnknownError):
         _create(FailingStore(1, 'late'))
 
@@ -108,7 +108,7 @@
 def test_unanswered_put_status_returns_false_after_taking_effect() -> None:
     store = MemoryStore()
     store.write(KIND, StoredObject('one', 0, 1))
-    store.lose_answers = 1
+    store.lose_responses = 1
 
     async def run() -> bool:
         found = store.kinds[KIND]['one']
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -49,7 +49,7 @@
 
 def test_no_watch_while_a_peer_of_the_zone_watches() -> None:
     election = _election('a')
-    peers = [_peer('z', last_heard=LATER)]
+    peers = [_peer('z', received_at=LATER)]
     assert not election.decide(peers, LATER, connected=False)
 
 
@@ -62,7 +62,7 @@
 ) -> None:
     election = _election('b')
     assert election.decide([], LATER, connected=False)
-    peers = [_peer(other, last_heard=LATER)]
+    peers = [_peer(other, received_at=LATER)]
     assert election.decide(peers, LATER, connected=connected) == watches
 
 
@@ -70,12 +70,12 @@
     first, second = _election('b'), _election('c')
     silent_at = WATCHER_SILENCE + LATER
     for election in (first, second):
-        watcher = [_peer('a', last_heard=LATER)]
+        watcher = [_peer('a', received_at=LATER)]
         assert not election.decide(watcher, silent_at - 0.01, connected=False)
     peers = [
-        _peer('a', last_heard=LATER),
-        _peer('b', last_heard=silent_at, store_reached=False),
-        _peer('c', last_heard=silent_at, store_reached=False),
+        _peer('a', received_at=LATER),
+        _peer('b', received_at=silent_at, store_reached=False),
+        _peer('c', received_at=silent_at, store_reached=False),
     ]
     assert first.decide(peers, silent_at, connected=False)
     assert not second.decide(peers, silent_at, connected=False)
@@ -89,7 +89,8 @@
     for step in range(40):
         now = START_WAIT + step / 10
         peers = [
-            _peer(other, last_heard=now, store_reached=False) for other in names
+            _peer(other, received_at=now, store_reached=False)
+            for other in names
         ]
         for name, election in zip(names, elections, strict=True):
             others = [other for other in peers if other.instance != name]
@@ -99,7 +100,7 @@
 
 
 def test_watcher_of_another_zone_does_not_count() -> None:
-    peers = [_peer('a', last_heard=LATER, zone='b1')]
+    peers = [_peer('a', received_at=LATER, zone='b1')]
     assert _election().decide(peers, LATER, connected=False)
 
 
