--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -75,15 +75,15 @@
         context: BatchContext,
         runner: Runner,
         reader: ResultReader,
-        instance: str,
+        run_name: str,
     ) -> None:
-        """Accept jobs as ``instance``, the name of this instance's run."""
+        """Accept jobs as ``run_name``, the name of this instance's run."""
         self._index = context.index
         self._job_store = context.job_store
         self._dialect = context.dialect
         self._runner = runner
         self._reader = reader
-        self._instance = instance
+        self._run_name = run_name
         self.on_cancel: Callable[[str], None] = _ignore
 
     async def submit(
@@ -102,7 +102,7 @@
             request.host,
             request.target,
             submission.submitted,
-            self._instance,
+            self._run_name,
             self._dialect.read_items(request.body),
             submission.config_version,
         )
@@ -128,7 +128,7 @@
         return _accepted()
 
     async def read_results(self, operation: ReadResults) -> Response:
-        """Return a page of results from a position on.
+        """Return a page of results from position ``operation.after`` on.
 
         Waits up to ``operation.wait`` s if there is none yet.
         """
@@ -154,7 +154,11 @@
         return Response(OK, BYTES_HEADERS, body)
 
     async def cancel(self, operation: CancelJob) -> Response:
-        """Cancel a job permanently: its unfinished items are not run."""
+        """Cancel a job permanently: its unfinished items are not run.
+
+        Refused with ``STORE_UNAVAILABLE`` also if the store did not confirm
+        the change, and with ``NOT_FOUND``.
+        """
         try:
             known = await self._job_store.cancel(operation.job)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
--- a/gentiantrestle/gateway/batch/runner.py
+++ b/gentiantrestle/gateway/batch/runner.py
@@ -30,23 +30,23 @@
 # Delay before an item that an upstream refused or lost is run again, and
 # before a failed read of the store is repeated.
 RETRY_DELAY = 0.3  # seconds
-# Takeovers that are announced to other instances with each datagram.
+# Each datagram lists this many of the last takeovers.
 MAX_ANNOUNCED_TAKEOVERS = 8
 
 
 class Runner:
     """Starts items on free slots and has their results written."""
 
-    def __init__(self, context: BatchContext, instance: str) -> None:
-        """Run jobs as ``instance``, the name of this instance's run.
+    def __init__(self, context: BatchContext, run_name: str) -> None:
+        """Run jobs as ``run_name``, the name of this instance's run.
 
-        ``live_instances`` must be set to return the names of the other
-        instances that live and take work.
+        ``live_runs`` must be set to return the names of the runs of other live
+        instances that accept new work.
         """
         self._context = context
-        self._instance = instance
+        self._run_name = run_name
         self._started = context.clock.now()
-        self.live_instances: Callable[[], Iterable[str]] = tuple
+        self.live_runs: Callable[[], Iterable[str]] = tuple
         self.run_table = RunTable(context, self._note_outcome)
         self._writer = ResultWriter(context.job_store)
         self._retry_times: dict[str, float] = {}
@@ -76,7 +76,7 @@
     def owns(self, entry: JobEntry) -> bool:
         """Return whether this instance runs a job."""
         uptime = self._context.clock.now() - self._started
-        return owns_job(entry, self._instance, self.live_instances(), uptime)
+        return owns_job(entry, self._run_name, self.live_runs(), uptime)
 
     async def stop(self) -> None:
         """Cancel all runs and write the results of finished items."""
@@ -103,7 +103,7 @@
             self._start_items(waiting, now)
 
     def _start_items(self, waiting: list[QueuedItem], now: float) -> None:
-        """Start the first items, as far as each service has free slots."""
+        """Start items in order, up to the budget of each service."""
         ahead = self._context.board.batch_ahead(self.backlog, now)
         budgets: dict[str, int] = {}
         for queued in waiting:
@@ -169,7 +169,7 @@
 
     def _note_takeover(self, entry: JobEntry) -> None:
         acceptor = entry.job.acceptor
-        if acceptor != self._instance and acceptor not in self.taken_over:
+        if acceptor != self._run_name and acceptor not in self.taken_over:
             events.emit(events.JOBS_TAKEN_OVER, run=acceptor)
             self.taken_over.append(acceptor)
 
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -86,27 +86,29 @@
 
 def owns_job(
     entry: JobEntry,
-    instance: str,
+    run_name: str,
     alive: Iterable[str],
     uptime: float,
 ) -> bool:
     """Return whether this instance, started ``uptime`` s ago, runs a job.
 
+    ``run_name`` names its run, and ``alive`` holds those of the others.
     An instance that has just started may not have received datagrams from the
     others yet, so it must not take their jobs over.
     """
-    if entry.job.acceptor == instance:
+    if entry.job.acceptor == run_name:
         return True
     if uptime < SILENCE_TIMEOUT:
         return False
-    return job_owner(entry, (*alive, instance)) == instance
+    return job_owner(entry, (*alive, run_name)) == run_name
 
 
 def start_budget(free: int, slots: int, ahead: int) -> int:
     """Return how many items an instance may start on a service's free slots.
 
-    ``ahead`` is the number of items at other instances that have less slack:
-    they go first, so that instances don't take the same free slot at once.
+    ``slots`` is the number of all slots of the service. ``ahead`` is the number
+    of items at other instances that have priority: they go first, so that
+    instances don't take the same free slot at once.
     """
     return max(0, free - slots // SLOTS_PER_RESERVED_SLOT - ahead)
 
--- a/gentiantrestle/gateway/fleet_state.py
+++ b/gentiantrestle/gateway/fleet_state.py
@@ -16,14 +16,14 @@
 
     def __init__(
         self,
-        documents: DocumentDecoder,
+        decoder: DocumentDecoder,
         config_name: str,
         now: Callable[[], float],
     ) -> None:
-        """Decode with ``documents``; nothing is known yet."""
+        """Decode with ``decoder``; nothing is known yet."""
         self.router = Router()
         self.roster = Roster()
-        self._documents = documents
+        self._decoder = decoder
         self._config_name = config_name
         self._now = now
         self.config: StoredObject | None = None
@@ -71,7 +71,7 @@
 
     def apply_config(self, stored: StoredObject) -> None:
         """Put a configuration in force if it is newer and can be read."""
-        table = self._documents.read_table(stored)
+        table = self._decoder.read_table(stored)
         if table is None or not self.router.apply(table):
             return
         self.config = stored
@@ -123,7 +123,7 @@
         if known is not None and known.revision >= stored.revision:
             return
         self.upstreams[stored.name] = stored
-        upstream = self._documents.read_upstream(stored)
+        upstream = self._decoder.read_upstream(stored)
         if upstream is None:
             self.roster.remove(stored.name, now)
         else:
--- a/gentiantrestle/gateway/gossip.py
+++ b/gentiantrestle/gateway/gossip.py
@@ -36,7 +36,7 @@
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
-# How many datagrams an instance may send to its own zone.
+# Limit on the datagrams that an instance sends to its own zone.
 LOCAL_RATE = 90  # datagrams per second
 MAX_INTERVAL = 0.4  # seconds until an unchanged state is sent again
 SUMMARY_INTERVAL = 0.1  # seconds between two summaries to another zone
@@ -50,7 +50,7 @@
 
 
 class SendSchedule:
-    """When a state is sent to a group of hosts; no I/O."""
+    """Decides when a state is sent to a group of hosts; no I/O."""
 
     def __init__(self) -> None:
         """Make the first state due at once."""
@@ -119,7 +119,7 @@
         payload: bytes,
         sender: tuple[str, int],
     ) -> None:
-        """Take in a pulse; one that can't be decoded is logged and dropped."""
+        """Apply a pulse; one that can't be decoded is logged and dropped."""
         try:
             pulse = decode(payload).pulse
         except BadFrameError as exc:
--- a/gentiantrestle/gateway/peers.py
+++ b/gentiantrestle/gateway/peers.py
@@ -11,7 +11,7 @@
 
 # An instance sends to its own zone at least every 0.4 s; datagrams may be lost.
 SILENCE_TIMEOUT = 1.6  # seconds until an instance of the own zone is gone
-# How many datagrams an instance may send to other zones.
+# Limit on the datagrams that an instance sends to other zones.
 REMOTE_RATE = 160  # datagrams per second
 # In large fleets, where zones exchange load summaries, what an instance sends
 # to other zones by itself is not urgent.
@@ -24,9 +24,9 @@
 AGGREGATORS_PER_ZONE = 2
 # Send intervals without a datagram until an instance of another zone is gone.
 MISSED_INTERVALS = 3.2
-# Seeds are sent to however long they are silent.
+# Seeds are never forgotten.
 FORGET_AFTER = 60.0  # seconds until nothing is sent to a silent host any more
-# For this long a lost instance may still do work that is not known here.
+# A lost instance may still do work for this long that is not known here.
 RECENT_LOSS_TIME = 60.0  # seconds
 
 
@@ -113,7 +113,7 @@
                 self._hosts.setdefault(host, now)
 
     def hosts(self, now: float) -> list[str]:
-        """List the hosts to send to: the seeds and those that aren't silent."""
+        """List the hosts to send to: the seeds and those not forgotten."""
         for host, received_at in tuple(self._hosts.items()):
             if now - received_at > FORGET_AFTER:
                 self._hosts.pop(host)
--- a/gentiantrestle/gateway/ports.py
+++ b/gentiantrestle/gateway/ports.py
@@ -178,6 +178,6 @@
     """The parts of an adapter that ties the gateway to one platform."""
 
     store: ObjectStore
-    documents: DocumentDecoder
+    decoder: DocumentDecoder
     dialect: Dialect
     kinds: ObjectKinds
--- a/gentiantrestle/gateway/retirement.py
+++ b/gentiantrestle/gateway/retirement.py
@@ -1,4 +1,4 @@
-"""Answers requests to empty a storage instance: it never holds anything."""
+"""Answers requests to empty a storage instance; none holds any data."""
 
 import asyncio
 from collections.abc import Iterable
--- a/gentiantrestle/gateway/retry_policy.py
+++ b/gentiantrestle/gateway/retry_policy.py
@@ -28,7 +28,13 @@
 
 
 class Step(Enum):
-    """What is done after an attempt."""
+    """What is done after an attempt.
+
+    ``REFUSE``: refuse the request; it was not executed.
+    ``PASS_ON``: forward the error response of the upstream.
+    ``ANSWER_UNKNOWN``: refuse it; it may have been executed.
+    ``CUT``: abort a response that has been started.
+    """
 
     FINISH = 'finish'
     RETRY = 'retry'
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -62,7 +62,7 @@
             cfg.peer_port,
         )
         self._state = FleetState(
-            adapter.documents, adapter.kinds.config_name, self._clock.now
+            adapter.decoder, adapter.kinds.config_name, self._clock.now
         )
         self._state.on_change = self._dispatch_work
         components = build_components(
@@ -164,9 +164,7 @@
 
     def _build_peering(self) -> Peering:
         peers = self._peers
-        self._runner.live_instances = lambda: peers.working_runs(
-            self._clock.now()
-        )
+        self._runner.live_runs = lambda: peers.working_runs(self._clock.now())
         reader = ResultReader(
             self._batch_context.job_store, self._runner, peers, self._clock.now
         )
--- a/gentiantrestle/gateway/sse.py
+++ b/gentiantrestle/gateway/sse.py
@@ -55,7 +55,7 @@
 
 
 def parse_event(raw: bytes) -> ServerSentEvent:
-    """Parse an event without its end mark; other fields are ignored."""
+    """Parse an event without its final blank line; ignore other fields."""
     event_id = 0
     lines = []
     for line in raw.split(b'\n'):
--- a/gentiantrestle/gateway/state_copier.py
+++ b/gentiantrestle/gateway/state_copier.py
@@ -1,6 +1,6 @@
 """Copies configuration, upstreams and jobs between instances; no I/O.
 
-Instances that don't watch the store themselves get them this way.
+Instances that don't watch the store themselves get their state this way.
 """
 
 from collections.abc import Callable, Iterable
@@ -32,7 +32,7 @@
 
     @property
     def revisions(self) -> Revisions:
-        """What this instance knows."""
+        """Revisions of the state that this instance has."""
         return Revisions(
             self._state.config_version,
             self._state.upstreams_revision,
--- a/gentiantrestle/http/connection.py
+++ b/gentiantrestle/http/connection.py
@@ -20,7 +20,7 @@
 READ_SIZE = 65536  # bytes
 MAX_WRITE_BUFFER = 65536  # bytes
 MAX_HEADER = 16384  # bytes
-LINGER_TIME = 0.5  # seconds
+LINGER_TIME = 0.5  # seconds of reading after a last response
 
 Handler: TypeAlias = Callable[[Request], Awaitable[Response]]
 
--- a/gentiantrestle/http/link.py
+++ b/gentiantrestle/http/link.py
@@ -70,7 +70,7 @@
         self._arrived.set()
 
     def eof_received(self) -> bool:
-        """Handle the peer's EOF as a disconnect; keep the transport open."""
+        """Handle the peer's EOF as a disconnect; keep our side open."""
         self.eof_seen = True
         self.machine.receive_data(b'')
         self._arrived.set()
@@ -142,7 +142,7 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection at once, so that the peer sees the cut."""
+        """Close at once and drop unsent bytes: the peer sees the cut."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/gentiantrestle/http/server.py
+++ b/gentiantrestle/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server that finishes running requests before it stops."""
+"""HTTP/1.1 server that finishes requests in flight before it stops."""
 
 import asyncio
 from contextlib import suppress
@@ -25,7 +25,7 @@
 
 
 class Server:
-    """Accepts connections; a stop waits for running requests."""
+    """Accepts connections; a stop waits for requests in flight."""
 
     def __init__(self, handle: Handler, limits: ServerLimits) -> None:
         """Pass each request to ``handle``, within ``limits``."""
@@ -52,7 +52,7 @@
         return self._server.sockets[0].getsockname()[1]
 
     async def stop(self, grace: float) -> int:
-        """Wait up to ``grace`` s for requests; return how many were cut."""
+        """Wait up to ``grace`` s for requests; return how many were cut off."""
         self._stopping.set()
         if self._server is not None:
             self._server.close()
@@ -79,7 +79,7 @@
         try:
             if full:
                 raise refuse(OVERLOADED, 'Too many connections', 1)
-            await conn.serve(self._safe_handle, self._stopping)
+            await conn.serve(self._handle_safely, self._stopping)
         except RefusedError as exc:
             with suppress(ConnectionClosedError, h11.LocalProtocolError):
                 await conn.refuse(exc)
@@ -91,7 +91,7 @@
             self._connections.pop(task, None)
             conn.close()
 
-    async def _safe_handle(self, req: Request) -> Response:
+    async def _handle_safely(self, req: Request) -> Response:
         try:
             return await self._handle(req)
         except RefusedError as exc:
--- a/tests/gateway/test_watching.py
+++ b/tests/gateway/test_watching.py
@@ -33,8 +33,8 @@
 
 
 def _peer(name: str, **changes: object) -> Peer:
-    plain = Peer(name, 1, 1, f'10.0.0.{name}', ZONE, False, 3, True, 0, 5, 5)
-    return plain._replace(**changes)
+    default = Peer(name, 1, 1, f'10.0.0.{name}', ZONE, False, 3, True, 0, 5, 5)
+    return default._replace(**changes)
 
 
 def _election(instance: str = 'b') -> WatcherElection:
