--- a/gentiantrestle/gateway/follower.py
+++ b/gentiantrestle/gateway/follower.py
@@ -81,7 +81,7 @@
 
 
 class Follower:
-    """Keeps a copy of one kind up to date."""
+    """Lists and watches one kind; passes what it reads to the handlers."""
 
     def __init__(
         self,
--- a/gentiantrestle/gateway/gossip.py
+++ b/gentiantrestle/gateway/gossip.py
@@ -203,12 +203,14 @@
     def _send_summary(self, status: InstanceStatus, now: float) -> None:
         """Send this zone's load summary to the other zones' aggregators."""
         local = [peer.instance for peer in self._peers.local_peers()]
-        own = EMPTY_REPORT._replace(
+        own_report = EMPTY_REPORT._replace(
             loads=self._board.own_loads,
             waiting=status.waiting,
             batch_backlog=status.batch_backlog,
         )
-        summary = combine((own, self._board.combine_peers(local, now)), now)
+        summary = combine(
+            (own_report, self._board.combine_peers(local, now)), now
+        )
         hosts = [peer.host for peer in self._peers.remote_aggregators(now)]
         self._send(
             hosts,
@@ -218,7 +220,7 @@
 
     def _combine_remote(self, now: float) -> LoadReport:
         zones = {peer.zone for peer in self._peers.remote_aggregators(now)}
-        # The time is left out, so that equal sums are equal.
+        # Without the time, unchanged sums compare as equal.
         return self._board.combine_peers(sorted(zones), now)._replace(
             received_at=0
         )
--- a/gentiantrestle/gateway/loads.py
+++ b/gentiantrestle/gateway/loads.py
@@ -39,7 +39,7 @@
 
 
 class LoadReport(NamedTuple):
-    """Loads as one peer reported them, or the sum of several reports.
+    """Loads as reported by one peer, or the sum of several reports.
 
     ``received_at`` is on this instance's clock, ``waiting`` counts callers
     waiting for a slot, ``is_summary`` marks a sum over instances.
@@ -138,14 +138,14 @@
             default=0,
         )
 
-    def batch_ahead(self, own: BatchBacklog, now: float) -> int:
-        """Count the peers' batch items that go before the own ones."""
+    def batch_ahead(self, own_backlog: BatchBacklog, now: float) -> int:
+        """Count the peers' batch items that go before ``own_backlog``."""
         return sum(
             report.batch_backlog.count
             for report in self._reports.values()
             if now - report.received_at < STALE_AFTER
             and report.batch_backlog.count
-            and report.batch_backlog.priority_key < own.priority_key
+            and report.batch_backlog.priority_key < own_backlog.priority_key
         )
 
     def waiting_at_peers(self, now: float) -> int:
--- a/gentiantrestle/gateway/request_handler.py
+++ b/gentiantrestle/gateway/request_handler.py
@@ -50,7 +50,7 @@
         self.record_request: Callable[[str, str, float], None] = _record_nothing
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request; ``RefusedError`` has the server refuse it."""
+        """Answer one request; raise ``RefusedError`` for one to be refused."""
         started = self._clock.now()
         operation = self._dialect.read_job_operation(exchange.head)
         if operation is not None:
--- a/gentiantrestle/gateway/service.py
+++ b/gentiantrestle/gateway/service.py
@@ -115,8 +115,8 @@
     def _run_name(self) -> str:
         return run_name(self._identity.instance, self._identity.incarnation)
 
-    async def _wait_until(self, end: float, *, idle: bool) -> None:
-        while self._clock.now() < end:
+    async def _wait_until(self, deadline: float, *, idle: bool) -> None:
+        while self._clock.now() < deadline:
             if idle and not self.server.in_flight:
                 return
             await asyncio.sleep(STOP_POLL_INTERVAL)
--- a/gentiantrestle/gateway/zone_watcher.py
+++ b/gentiantrestle/gateway/zone_watcher.py
@@ -95,16 +95,18 @@
         self._target = 0
         self._behind_since = NEVER
 
-    def lag(self, own: int, newest: int, now: float) -> float:
+    def lag(self, known: int, newest: int, now: float) -> float:
         """Return for how long this instance has been behind, in s.
 
+        ``known`` is its own revision, ``newest`` the newest of the others.
+
         It is negative infinity while nothing is missing. Others may get ahead
         again and again: only the revision that they had when this instance
         fell behind has to be reached.
         """
-        if newest <= own:
+        if newest <= known:
             self._behind_since = NEVER
-        elif self._behind_since == NEVER or own >= self._target:
+        elif self._behind_since == NEVER or known >= self._target:
             self._target = newest
             self._behind_since = now
         return now - self._behind_since
--- a/tests/gateway/test_decisions.py
+++ b/tests/gateway/test_decisions.py
@@ -113,12 +113,12 @@
 
 def test_choose_prefers_own_zone_until_its_slots_are_taken() -> None:
     placement, board = _make_placement()
-    near, far = make_upstream('near'), make_upstream('far', zone='b1')
-    assert placement.choose([far, near], 0) == near
+    local, remote = make_upstream('near'), make_upstream('far', zone='b1')
+    assert placement.choose([remote, local], 0) == local
     board.add('near', online=8)
-    assert placement.choose([far, near], 0) == far
+    assert placement.choose([remote, local], 0) == remote
     board.add('far', online=8)
-    assert placement.choose([far, near], 0) is None
+    assert placement.choose([remote, local], 0) is None
 
 
 def test_load_of_peer_counts_until_it_is_stale() -> None:
--- a/tests/gateway/test_load.py
+++ b/tests/gateway/test_load.py
@@ -187,13 +187,15 @@
         for number in range(INSTANCES)
     }
     started = 0
-    for name, own in reports.items():
+    for name, own_report in reports.items():
         board = LoadBoard()
         for other, report in reports.items():
             if other != name:
                 board.set_peer_report(other, report)
-        ahead = board.batch_ahead(own.batch_backlog, 0) if ranked else 0
-        started += min(own.batch_backlog.count, start_budget(free, free, ahead))
+        ahead = board.batch_ahead(own_report.batch_backlog, 0) if ranked else 0
+        started += min(
+            own_report.batch_backlog.count, start_budget(free, free, ahead)
+        )
     return started - free
 
 
