--- a/gentiantrestle/events.py
+++ b/gentiantrestle/events.py
@@ -48,8 +48,10 @@
 CHILD_ABANDONED = _define(
     1006, LEVEL_CRITICAL, 'child {child} exceeded its restart limit'
 )
-SETTINGS_CHANGED = _define(
-    1007, LEVEL_INFO, 'settings changed; nothing to reload'
+RELOAD_IGNORED = _define(
+    1007,
+    LEVEL_INFO,
+    'received SIGHUP; settings are read at start only: restart to apply them',
 )
 STORE_UNREACHABLE = _define(
     2001, LEVEL_WARNING, 'store does not answer: {error}'
--- a/gentiantrestle/gateway/batch/api.py
+++ b/gentiantrestle/gateway/batch/api.py
@@ -33,9 +33,9 @@
 OK = 200
 MAX_JOB_SIZE = 1000000  # bytes: the store's limit for one object
 MAX_PAGE_SIZE = 900000  # characters of output in one response
-# Between checks for results that another instance may store.
+# Time between checks for results that another instance may store.
 PEER_POLL_INTERVAL = 0.25  # seconds
-# Between checks for results that only this instance stores.
+# Time between checks for results that only this instance stores.
 LOCAL_POLL_INTERVAL = 0.1  # seconds
 STORE_RETRY_AFTER = 0.5  # seconds, while the store is unavailable
 # Up to this share of a quota only the jobs known here are counted: those not
@@ -55,7 +55,10 @@
 
 
 class Submission(NamedTuple):
-    """When a job came (wall-clock time in s), and the version in force."""
+    """When a job was submitted, and the configuration version in force then.
+
+    ``submitted`` is a wall-clock time in s.
+    """
 
     submitted: float
     config_version: int
@@ -72,15 +75,15 @@
         context: BatchContext,
         runner: Runner,
         reader: ResultReader,
-        instance: str,
+        run_name: str,
     ) -> None:
-        """Accept jobs as ``instance``, the name of this instance's run."""
+        """Accept jobs as ``run_name``, the name of this instance's run."""
         self._index = context.index
         self._job_store = context.job_store
         self._dialect = context.dialect
         self._runner = runner
         self._reader = reader
-        self._instance = instance
+        self._run_name = run_name
         self.on_cancel: Callable[[str], None] = _ignore
 
     async def submit(
@@ -99,7 +102,7 @@
             request.host,
             request.target,
             submission.submitted,
-            self._instance,
+            self._run_name,
             self._dialect.read_items(request.body),
             submission.config_version,
         )
@@ -125,7 +128,7 @@
         return _accepted()
 
     async def read_results(self, operation: ReadResults) -> Response:
-        """Return a page of results from a position on.
+        """Return a page of results from position ``operation.after`` on.
 
         Waits up to ``operation.wait`` s if there is none yet.
         """
@@ -151,7 +154,11 @@
         return Response(OK, BYTES_HEADERS, body)
 
     async def cancel(self, operation: CancelJob) -> Response:
-        """Cancel a job permanently: its unfinished items are not run."""
+        """Cancel a job permanently: its unfinished items are not run.
+
+        Refused with ``STORE_UNAVAILABLE`` also if the store did not confirm
+        the change, and with ``NOT_FOUND``.
+        """
         try:
             known = await self._job_store.cancel(operation.job)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as exc:
@@ -216,9 +223,9 @@
     async def _check_quota(self, job: Job, route: Route) -> None:
         """Refuse a job that exceeds the route's token quota.
 
-        Far below the quota the jobs known here suffice: what other instances
-        accept meanwhile can't use up the rest. Above that, jobs and results
-        are read anew before a job is refused.
+        Up to ``QUOTA_LOCAL_SHARE`` of the quota, only the jobs known here are
+        counted. Above that, jobs are listed again, and results are read again
+        before a job is refused.
         """
         if not route.max_tokens:
             return
--- a/gentiantrestle/gateway/batch/scheduling.py
+++ b/gentiantrestle/gateway/batch/scheduling.py
@@ -25,7 +25,7 @@
 SLOTS_PER_RESERVED_SLOT = 24
 # Wall clocks may step by seconds; retention must not end early for that.
 CLOCK_TOLERANCE = 5.0  # seconds
-SMOOTHING = 0.1
+SMOOTHING = 0.1  # weight of a new sample in the moving average
 INITIAL_PACE = 0.003  # seconds a token, assumed until an item has finished
 
 
@@ -39,7 +39,7 @@
 
     @property
     def priority_key(self) -> tuple[bool, int]:
-        """Order items: those that can be in time, the shortest first."""
+        """Sort key: items that can be in time first, then by tokens left."""
         return self.slack < 0, self.tokens_left
 
 
@@ -86,33 +86,35 @@
 
 def owns_job(
     entry: JobEntry,
-    instance: str,
+    run_name: str,
     alive: Iterable[str],
     uptime: float,
 ) -> bool:
-    """Tell whether this instance, started ``uptime`` s ago, runs a job.
+    """Return whether this instance, started ``uptime`` s ago, runs a job.
 
-    An instance that has just started has not heard from the others yet, so it
-    must not take their jobs over.
+    ``run_name`` names its run, and ``alive`` holds those of the others.
+    An instance that has just started may not have received datagrams from the
+    others yet, so it must not take their jobs over.
     """
-    if entry.job.acceptor == instance:
+    if entry.job.acceptor == run_name:
         return True
     if uptime < SILENCE_TIMEOUT:
         return False
-    return job_owner(entry, (*alive, instance)) == instance
+    return job_owner(entry, (*alive, run_name)) == run_name
 
 
 def start_budget(free: int, slots: int, ahead: int) -> int:
     """Return how many items an instance may start on a service's free slots.
 
-    ``ahead`` is the number of items at other instances that have less slack:
-    they go first, so that instances don't take the same free slot at once.
+    ``slots`` is the number of all slots of the service. ``ahead`` is the number
+    of items at other instances that have priority: they go first, so that
+    instances don't take the same free slot at once.
     """
     return max(0, free - slots // SLOTS_PER_RESERVED_SLOT - ahead)
 
 
 def is_preemptible(slack: float) -> bool:
-    """Tell whether a running item may be preempted by a request.
+    """Return whether a running item may be preempted by a request.
 
     A late item loses nothing by it; one with enough slack can be resumed on
     another upstream in time.
@@ -121,7 +123,7 @@
 
 
 def preemption_key(slack: float) -> tuple[bool, float]:
-    """Order items for preemption: the highest key is preempted first."""
+    """Sort key for preemption: the item with the highest key goes first."""
     return slack < 0, slack
 
 
@@ -131,7 +133,7 @@
     version: int,
     wall: float,
 ) -> bool:
-    """Tell whether a job's unfinished items need not be run any more.
+    """Return whether a job's unfinished items need not be run any more.
 
     That is so if its route is missing in a configuration at least as new as
     the one it was accepted under, or if its retention is over on the clock of
--- a/gentiantrestle/gateway/gossip.py
+++ b/gentiantrestle/gateway/gossip.py
@@ -36,7 +36,7 @@
 from gentiantrestle.models import Address
 from gentiantrestle.wire.peer import ttypes
 
-# How many datagrams an instance may send to its own zone.
+# Limit on the datagrams that an instance sends to its own zone.
 LOCAL_RATE = 90  # datagrams per second
 MAX_INTERVAL = 0.4  # seconds until an unchanged state is sent again
 SUMMARY_INTERVAL = 0.1  # seconds between two summaries to another zone
@@ -50,7 +50,7 @@
 
 
 class SendSchedule:
-    """When a state is sent to a group of hosts; no I/O."""
+    """Decides when a state is sent to a group of hosts; no I/O."""
 
     def __init__(self) -> None:
         """Make the first state due at once."""
@@ -119,7 +119,7 @@
         payload: bytes,
         sender: tuple[str, int],
     ) -> None:
-        """Take in a pulse; one that can't be decoded is logged and dropped."""
+        """Apply a pulse; one that can't be decoded is logged and dropped."""
         try:
             pulse = decode(payload).pulse
         except BadFrameError as exc:
@@ -203,12 +203,14 @@
     def _send_summary(self, status: InstanceStatus, now: float) -> None:
         """Send this zone's load summary to the other zones' aggregators."""
         local = [peer.instance for peer in self._peers.local_peers()]
-        own = EMPTY_REPORT._replace(
+        own_report = EMPTY_REPORT._replace(
             loads=self._board.own_loads,
             waiting=status.waiting,
             batch_backlog=status.batch_backlog,
         )
-        summary = combine((own, self._board.combine_peers(local, now)), now)
+        summary = combine(
+            (own_report, self._board.combine_peers(local, now)), now
+        )
         hosts = [peer.host for peer in self._peers.remote_aggregators(now)]
         self._send(
             hosts,
@@ -218,7 +220,7 @@
 
     def _combine_remote(self, now: float) -> LoadReport:
         zones = {peer.zone for peer in self._peers.remote_aggregators(now)}
-        # The time is left out, so that equal sums are equal.
+        # Without the time, unchanged sums compare as equal.
         return self._board.combine_peers(sorted(zones), now)._replace(
             received_at=0
         )
