--- a/gentiantrestle/daemon/configuration/document.py
+++ b/gentiantrestle/daemon/configuration/document.py
@@ -23,8 +23,8 @@
 UPSTREAM_KINDS = frozenset(('engine', 'service'))
 MAX_SLOTS = 4096
 MAX_PROMPT_LENGTH = 16777216  # characters
-SHA256_HEX_LENGTH = 64
-MAX_NAME_LENGTH = 128
+SHA256_HEX_LENGTH = 64  # characters
+MAX_NAME_LENGTH = 128  # characters
 
 
 class Problem(NamedTuple):
--- a/gentiantrestle/daemon/entry/administration.py
+++ b/gentiantrestle/daemon/entry/administration.py
@@ -71,7 +71,7 @@
                 _describe_member(member, member.instance in alive)
                 for member in components.membership.view.members()
             ],
-            'upstreams': components.fleet.describe(now),
+            'upstreams': components.upstreams.describe(now),
         }
     )
 
--- a/gentiantrestle/daemon/entry/reports.py
+++ b/gentiantrestle/daemon/entry/reports.py
@@ -15,7 +15,7 @@
 
 HTML_TYPE = 'text/html; charset=utf-8'
 BAR_WIDTH = 200  # pixels
-MAX_BAR_BURN = 10
+MAX_BAR_BURN = 10  # burn rate of a full bar
 OK_COLOUR = '#2a7'
 BAD_COLOUR = '#c33'
 BURN_BAR = (
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -34,14 +34,14 @@
 
 
 class Components(NamedTuple):
-    """The daemon's other components, for use by the routes."""
+    """The components of the daemon that the routes use."""
 
     ctx: Context
     store: StoreClient
     membership: Membership
     configuration: Configuration
     admin: Admin
-    fleet: UpstreamRegistry
+    upstreams: UpstreamRegistry
     online: OnlineService
     batch: Batch
     reporter: Reporter
--- a/gentiantrestle/daemon/online/admission.py
+++ b/gentiantrestle/daemon/online/admission.py
@@ -12,7 +12,7 @@
 from gentiantrestle.models import DeploymentDoc
 
 ROUTING_POLICY = 'least_cost'
-SMOOTHING = 0.1
+SMOOTHING = 0.1  # weight of a new sample
 RETRY_AFTER = 1  # seconds
 
 
@@ -40,10 +40,10 @@
 class Admission:
     """Assigns upstream slots to online requests and queues the excess."""
 
-    def __init__(self, ctx: Context, registry: UpstreamRegistry) -> None:
+    def __init__(self, ctx: Context, upstreams: UpstreamRegistry) -> None:
         """Start with an empty queue."""
         self._ctx = ctx
-        self._registry = registry
+        self._upstreams = upstreams
         self._queue = FairQueue(ctx.cfg.queue_length)
         self._service_time = float(0)
         self._shares = ClientShares()
@@ -75,7 +75,7 @@
         return isinstance(self._choose_upstream(request), str)
 
     def acquire_if_free(self, request: SlotRequest) -> Upstream | None:
-        """Take a slot without waiting; return None where that fails."""
+        """Take a slot without waiting; return None if it is refused."""
         result = self._try_acquire(request)
         return result if isinstance(result, Upstream) else None
 
@@ -84,7 +84,7 @@
         self._shares.release(client)
         upstream.online -= 1
         self._service_time += SMOOTHING * (seconds - self._service_time)
-        self._registry.loads.notify_change(upstream.name)
+        self._upstreams.loads.notify_change(upstream.name)
         self.dispatch(self._ctx.now())
 
     def dispatch(self, now: float) -> None:
@@ -134,15 +134,15 @@
                 'This client has reached its limit of concurrent requests',
                 RETRY_AFTER,
             )
-        upstream = self._registry.find(name)
+        upstream = self._upstreams.find(name)
         upstream.online += 1
         self._shares.acquire(request.client)
-        self._registry.loads.notify_change(name)
+        self._upstreams.loads.notify_change(name)
         return upstream
 
     def _choose_upstream(self, request: SlotRequest) -> str | Refusal:
         now = self._ctx.now()
-        snapshot = self._registry.snapshot(
+        snapshot = self._upstreams.snapshot(
             request.deployment,
             now,
             request.prompt,
@@ -152,13 +152,13 @@
 
     def _is_client_at_limit(self, request: SlotRequest, now: float) -> bool:
         slots = sum(
-            self._registry.local_share(name, now)
+            self._upstreams.local_share(name, now)
             for name in request.deployment['upstreams']
         )
         return self._shares.is_at_limit(request.client, slots, now)
 
     def _refuse_long_wait(self, request: SlotRequest) -> None:
-        slots = self._registry.total_slots(request.deployment)
+        slots = self._upstreams.total_slots(request.deployment)
         wait = expected_wait(len(self._queue), slots, self._service_time)
         if wait > self._ctx.cfg.queue_wait:
             raise RefusedError(
--- a/gentiantrestle/daemon/online/attempt.py
+++ b/gentiantrestle/daemon/online/attempt.py
@@ -39,7 +39,7 @@
 from gentiantrestle.models import DeploymentDoc
 
 MAX_ERROR_BODY = 200  # bytes
-SERVER_ERROR = 500
+SERVER_ERROR = 500  # lowest HTTP status
 RETRY_AFTER = 1  # seconds
 EVENTS_PER_SAMPLE = 4  # fewest stream events that one pace sample covers
 
--- a/gentiantrestle/daemon/online/client_shares.py
+++ b/gentiantrestle/daemon/online/client_shares.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-MAX_CLIENT_SHARE = 0.75
+MAX_CLIENT_SHARE = 0.75  # of the slots
 ACTIVE_WINDOW = 10.0  # seconds
 
 
@@ -23,7 +23,7 @@
         self._running[client] += 1
 
     def release(self, client: str) -> None:
-        """Uncount a slot that a client has given back."""
+        """Stop counting a slot that a client has given back."""
         self._running[client] -= 1
         if not self._running[client]:
             self._running.pop(client)
--- a/gentiantrestle/daemon/online/hedging.py
+++ b/gentiantrestle/daemon/online/hedging.py
@@ -1,7 +1,7 @@
 """Hedging: when to start a second attempt for a slow request; no I/O."""
 
-SMOOTHING = 0.1
-HEDGE_FACTOR = 3.0
+SMOOTHING = 0.1  # weight of a new sample
+HEDGE_FACTOR = 3.0  # times the smoothed start
 MIN_DELAY = 0.03  # seconds
 INITIAL_DELAY = 1.0  # seconds
 MAX_HEDGED_PROMPT = 4000  # characters
--- a/gentiantrestle/daemon/online/relay.py
+++ b/gentiantrestle/daemon/online/relay.py
@@ -40,12 +40,12 @@
     def __init__(
         self,
         ctx: Context,
-        registry: UpstreamRegistry,
+        upstreams: UpstreamRegistry,
         admission: Admission,
     ) -> None:
         """Start with a fresh retry budget for every client."""
         self._ctx = ctx
-        self._registry = registry
+        self._upstreams = upstreams
         self._admission = admission
         self._budgets: dict[str, RetryBudget] = {}
         self._hedge_rule = HedgeRule()
@@ -159,7 +159,7 @@
         try:
             answer = await attempt.send()
         except UpstreamLeavingError as exc:
-            self._registry.mark_leaving(upstream.name, exc.incarnation)
+            self._upstreams.mark_leaving(upstream.name, exc.incarnation)
             self._release_slot(attempt)
             raise
         except BaseException:
--- a/gentiantrestle/daemon/online/retries.py
+++ b/gentiantrestle/daemon/online/retries.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 MAX_ATTEMPTS = 3
-BUDGET_RATIO = 0.2
+BUDGET_RATIO = 0.2  # retries per recent request
 BUDGET_FLOOR = 10.0  # retries
 BUDGET_DECAY_TIME = 10.0  # seconds
 
--- a/gentiantrestle/daemon/online/service.py
+++ b/gentiantrestle/daemon/online/service.py
@@ -26,14 +26,14 @@
         ctx: Context,
         store: StoreClient,
         membership: Membership,
-        registry: UpstreamRegistry,
+        upstreams: UpstreamRegistry,
         reporter: Reporter,
     ) -> None:
-        """Use one queue and one store of kept answers for all requests."""
+        """Create the queue and the kept answers that all requests share."""
         self._ctx = ctx
         self.reporter = reporter
-        self.admission = Admission(ctx, registry)
-        self._relay = Relay(ctx, registry, self.admission)
+        self.admission = Admission(ctx, upstreams)
+        self._relay = Relay(ctx, upstreams, self.admission)
         self.at_most_once = AtMostOnceRunner(ctx, store, membership)
 
     async def run(self) -> None:
--- a/gentiantrestle/daemon/tree.py
+++ b/gentiantrestle/daemon/tree.py
@@ -31,7 +31,7 @@
             (
                 Child('membership', components.membership.run),
                 Child('configuration', components.configuration.run),
-                Child('upstreams', components.fleet.run),
+                Child('upstreams', components.upstreams.run),
                 Child('online', components.online.run),
                 Child('batch', components.batch.run),
                 Child('report', components.reporter.run),
@@ -46,8 +46,8 @@
         store = StoreClient(ctx)
         membership = Membership.from_config(ctx)
         configuration = Configuration(ctx, store, membership)
-        fleet = UpstreamRegistry(ctx, configuration, membership)
-        batch = Batch(ctx, store, configuration, membership, fleet)
+        upstreams = UpstreamRegistry(ctx, configuration, membership)
+        batch = Batch(ctx, store, configuration, membership, upstreams)
         reporter = Reporter(ctx, membership, configuration, batch.client_jobs)
         return cls(
             Components(
@@ -56,8 +56,10 @@
                 membership=membership,
                 configuration=configuration,
                 admin=Admin(ctx, store, configuration),
-                fleet=fleet,
-                online=OnlineService(ctx, store, membership, fleet, reporter),
+                upstreams=upstreams,
+                online=OnlineService(
+                    ctx, store, membership, upstreams, reporter
+                ),
                 batch=batch,
                 reporter=reporter,
             )
