--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -43,7 +43,8 @@
     """A job that a client submits.
 
     ``window`` is the time until the deadline in seconds, ``body_size`` the
-    size in bytes or 0 if unknown.
+    size in bytes or 0 if unknown. ``max_jobs`` limits the running jobs of the
+    client.
     """
 
     client: str
@@ -64,7 +65,10 @@
         self.count = 0
 
     async def add(self, items: list[ItemLine]) -> None:
-        """Store the items of the next chunk; raise if the store fails."""
+        """Store the items of the next chunk.
+
+        Raises ``StoreUnavailableError`` or ``StoreOutcomeUnknownError``.
+        """
         name = input_name(self.name, self.count)
         self.count += 1
         await self._store.put(name, {'items': items}, ABSENT)
@@ -85,7 +89,7 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """Write to the store, and accepted jobs to its local copy too."""
+        """Write to the store, and accepted jobs to the local mirror too."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
@@ -125,9 +129,9 @@
 
     def _check_job_limit(self, submission: Submission) -> None:
         running = sum(
-            copied.document['state'] == RUNNING
-            and copied.document['client'] == submission.client
-            for copied in self._configuration.mirror.with_prefix(JOB_PREFIX)
+            mirrored.document['state'] == RUNNING
+            and mirrored.document['client'] == submission.client
+            for mirrored in self._configuration.mirror.with_prefix(JOB_PREFIX)
         )
         if running >= submission.max_jobs:
             raise refuse(
--- a/gentiantrestle/daemon/batch/allocator.py
+++ b/gentiantrestle/daemon/batch/allocator.py
@@ -134,7 +134,11 @@
             heapq.heappush(self._waiting, waiter)
 
     def free_slots(self, deployment: DeploymentDoc) -> int:
-        """Return a deployment's free slots minus all waiting items."""
+        """Return how many more items of a deployment could get a slot here.
+
+        These are the free slots on its upstreams that this instance owns,
+        minus the waiting items of all deployments; may be negative.
+        """
         now = self._ctx.now()
         free = sum(
             max(
--- a/gentiantrestle/daemon/batch/chunk_run.py
+++ b/gentiantrestle/daemon/batch/chunk_run.py
@@ -56,7 +56,7 @@
 class ChunkRun:
     """Runs a chunk under one epoch until it is done, lost or handed over.
 
-    A write is repeated until the store answers.
+    Each write to the store is retried until its outcome is known.
     """
 
     def __init__(self, services: Services, chunk: ClaimedChunk) -> None:
@@ -198,7 +198,10 @@
                 )
 
     async def _save_periodically(self) -> None:
-        """Save rarely: each save takes at least two writes to the store."""
+        """Save new results, at most once per ``MIN_SAVE_INTERVAL``.
+
+        Saves are rare because each takes at least two writes to the store.
+        """
         saved_at = self._services.ctx.now()
         while True:
             await asyncio.sleep(SAVE_CHECK_PERIOD)
@@ -262,7 +265,8 @@
     async def _resolve_conflict(self, wanted: dict[str, Any]) -> bool:
         """Tell after a conflict whether the store has the wanted record.
 
-        It is, if this run's own write succeeded and its answer was lost. Raises
+        It has if this run's own write succeeded but its answer was lost.
+        Returns False also if the store does not answer. Raises
         ``ChunkLostError`` if the chunk has another holder or epoch.
         """
         try:
--- a/gentiantrestle/daemon/batch/client_jobs.py
+++ b/gentiantrestle/daemon/batch/client_jobs.py
@@ -72,16 +72,16 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """List jobs from the local copy; read and write the store otherwise."""
+        """List jobs from the local mirror; use the store otherwise."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
 
     def jobs_of(self, client: str) -> Iterator[JobRecord]:
-        """Yield a client's jobs from the local copy of the store."""
-        for copied in self._configuration.mirror.with_prefix(JOB_PREFIX):
-            if copied.document['client'] == client:
-                yield copied.document
+        """Yield a client's jobs from the local mirror of the store."""
+        for mirrored in self._configuration.mirror.with_prefix(JOB_PREFIX):
+            if mirrored.document['client'] == client:
+                yield mirrored.document
 
     async def find(self, client: str, job_id: str) -> VersionedJob:
         """Read a job; refuse it as not found if it is another client's."""
--- a/gentiantrestle/daemon/batch/monitor.py
+++ b/gentiantrestle/daemon/batch/monitor.py
@@ -47,7 +47,10 @@
         view: MembershipView,
         tracker: JobTracker,
     ) -> None:
-        """Check holders by their heartbeats first, then by their leases."""
+        """Watch holders by their heartbeats and, if these stop, by leases.
+
+        Until ``is_running_here`` is set, no chunk counts as running here.
+        """
         self._ctx = ctx
         self._store = store
         self._view = view
--- a/gentiantrestle/daemon/batch/parser.py
+++ b/gentiantrestle/daemon/batch/parser.py
@@ -33,7 +33,10 @@
 
 
 class JobSummary(NamedTuple):
-    """A job's properties, known once all of its lines are parsed."""
+    """A job's properties, known once all of its lines are parsed.
+
+    ``digest`` is the SHA-256 of the body in hex.
+    """
 
     endpoint: str
     url: str
--- a/gentiantrestle/daemon/batch/schedule.py
+++ b/gentiantrestle/daemon/batch/schedule.py
@@ -21,11 +21,11 @@
 
 
 class CachedChunk(NamedTuple):
-    """A record; ``since`` is when this version was cached, in local s."""
+    """A chunk record; ``cached_at`` is in seconds of the local clock."""
 
     version: int
     record: ChunkRecord
-    since: float
+    cached_at: float
 
 
 class ChunkCache:
@@ -65,10 +65,13 @@
 
 
 class ObservedLease(NamedTuple):
-    """A lease; ``since`` is when this version was first read, in local s."""
+    """A version of a lease, and when it was first read.
+
+    ``first_read_at`` is in seconds of the local clock.
+    """
 
     version: int
-    since: float
+    first_read_at: float
 
 
 class LeaseTracker:
@@ -90,9 +93,9 @@
             self._leases[instance] = ObservedLease(version, now)
 
     def has_expired(self, instance: str, now: float) -> bool:
-        """Tell whether an instance's lease has expired at ``now``."""
+        """Tell whether an instance's lease has expired; False if never read."""
         known = self._leases.get(instance)
-        return known is not None and now - known.since >= self._duration
+        return known is not None and now - known.first_read_at >= self._duration
 
 
 def order_jobs(jobs: Iterable[JobRecord]) -> list[JobRecord]:
--- a/gentiantrestle/daemon/batch/service.py
+++ b/gentiantrestle/daemon/batch/service.py
@@ -95,7 +95,7 @@
                 task.cancel()
 
     async def stop(self) -> None:
-        """Hand all chunks over to other instances, within the grace period."""
+        """Stop claiming and hand over all chunks, within the grace period."""
         self._stopping = True
         tasks = tuple(self._runs.values())
         for task in tasks:
@@ -150,12 +150,18 @@
             self._tracker.workers,
         )
         if key is None:
-            key = await self._find_any_open(order_jobs(jobs))
+            key = await self._find_any_open_chunk(order_jobs(jobs))
         if key is not None:
             await self._claim_chunk(key)
 
-    async def _find_any_open(self, jobs: list[JobRecord]) -> ChunkKey | None:
-        """Search periodically for an open chunk of another instance."""
+    async def _find_any_open_chunk(
+        self, jobs: list[JobRecord]
+    ) -> ChunkKey | None:
+        """Find an open chunk that may be assigned to any instance.
+
+        A search reads chunk records from the store, so there is only about
+        one per ``CHECK_PERIOD``; returns None until the next one is due.
+        """
         now = self._ctx.now()
         if now < self._next_search:
             return None
@@ -272,12 +278,12 @@
             and self._allocator.free_slots(deployment) > 0
         )
 
-    def _on_job_change(self, copied: MirroredObject) -> None:
+    def _on_job_change(self, mirrored: MirroredObject) -> None:
         """Stop running the chunks of a job that has ended."""
-        document = copied.document or {}
+        document = mirrored.document or {}
         if document.get('state') == RUNNING:
             return
-        job_id = copied.name.removeprefix(JOB_PREFIX)
+        job_id = mirrored.name.removeprefix(JOB_PREFIX)
         self._tracker.chunk_cache.forget_jobs((job_id,))
         for key, task in tuple(self._runs.items()):
             if key.job_id == job_id:
--- a/gentiantrestle/daemon/batch/tracker.py
+++ b/gentiantrestle/daemon/batch/tracker.py
@@ -25,7 +25,7 @@
 
 
 class JobTracker:
-    """Running jobs from the local copy of the store, and cached chunks."""
+    """Tracks running jobs in the mirror and caches their chunk records."""
 
     def __init__(
         self,
@@ -53,16 +53,16 @@
         return bool(self._running)
 
     def find_job(self, job_id: str) -> JobRecord | None:
-        """Return a job from the local copy, or ``None`` if it is unknown."""
-        copied = self._configuration.mirror.get(job_name(job_id))
-        return copied.document if copied else None
+        """Return a job from the mirror, or ``None`` if it is unknown."""
+        mirrored = self._configuration.mirror.get(job_name(job_id))
+        return mirrored.document if mirrored else None
 
     def job_version(self, job_id: str) -> int:
-        """Return the version of a job in the local copy."""
+        """Return the version of a job in the mirror, which must have it."""
         return self._configuration.mirror.get(job_name(job_id)).version
 
     def update_job(self, version: int, job: JobRecord) -> None:
-        """Put a job that was read or written into the local copy."""
+        """Put a job that was read or written into the mirror."""
         self._configuration.update_mirror(job_name(job['id']), version, job)
 
     def is_running(self, job_id: str) -> bool:
@@ -71,7 +71,7 @@
         return record is not None and record['state'] == RUNNING
 
     def deployment(self, job: JobRecord) -> DeploymentDoc | None:
-        """Return a job's deployment, or ``None`` without its endpoint."""
+        """Return a job's deployment, or ``None`` if its endpoint is gone."""
         fleet = self._configuration.fleet
         endpoint = fleet['endpoints'].get(job['endpoint'])
         if endpoint is None:
@@ -113,9 +113,9 @@
             key = ChunkKey(job['id'], chunk_index(listed['name']))
             self.update_chunk(key, listed['version'], listed['body'])
 
-    def _on_job_change(self, copied: MirroredObject) -> None:
-        job_id = copied.name.removeprefix(JOB_PREFIX)
-        document = copied.document
+    def _on_job_change(self, mirrored: MirroredObject) -> None:
+        job_id = mirrored.name.removeprefix(JOB_PREFIX)
+        document = mirrored.document
         if document is not None and document['state'] == RUNNING:
             self._running[job_id] = document
         else:
