--- a/gentiantrestle/cli/registry.py
+++ b/gentiantrestle/cli/registry.py
@@ -1,4 +1,4 @@
-"""Registry of the tool's commands; a decorator adds to it."""
+"""Registry of the tool's commands, filled by a decorator."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple, TypeAlias
@@ -42,7 +42,10 @@
 
 
 def command(usage: str, help_text: str) -> Callable[[Action], Action]:
-    """Register a command; words in capitals are its arguments."""
+    """Return a decorator that registers a command.
+
+    Words of ``usage`` in capitals name its arguments.
+    """
     words = tuple(word for word in usage.split() if not word.isupper())
     arguments = tuple(word for word in usage.split() if word.isupper())
 
--- a/gentiantrestle/daemon/membership/codec.py
+++ b/gentiantrestle/daemon/membership/codec.py
@@ -24,7 +24,7 @@
 
 
 class BadFrameError(Exception):
-    """The received bytes are not a valid envelope."""
+    """A received frame is too large or not a valid envelope."""
 
 
 def encode(envelope: ttypes.Envelope) -> bytes:
--- a/gentiantrestle/daemon/membership/peers.py
+++ b/gentiantrestle/daemon/membership/peers.py
@@ -142,7 +142,7 @@
     """Answers the calls of other instances."""
 
     def __init__(self, handle: PeerHandler) -> None:
-        """Answer calls with ``handle``; the call's number is added here."""
+        """Answer calls with ``handle``, whose answers need no call number."""
         self._handle = handle
         self._connection_tasks: set[asyncio.Task[None]] = set()
 
--- a/gentiantrestle/daemon/membership/service.py
+++ b/gentiantrestle/daemon/membership/service.py
@@ -22,8 +22,8 @@
 from gentiantrestle.wire.peer.ttypes import Envelope, Heartbeat
 from gentiantrestle.wire.peer.ttypes import Member as WireMember
 
-SAME_ZONE_FANOUT = 3
-OTHER_ZONES_FANOUT = 1
+SAME_ZONE_FANOUT = 3  # peers per heartbeat period
+OTHER_ZONES_FANOUT = 1  # peers per heartbeat period
 FORGET_AFTER = 600.0  # seconds
 
 
@@ -52,7 +52,7 @@
 
     @classmethod
     def from_config(cls, ctx: Context) -> 'Membership':
-        """Create the child for the instance of the settings, in STARTING."""
+        """Create the child; the instance of the settings is in STARTING."""
         cfg = ctx.cfg
         local_member = Member(
             instance=cfg.instance,
@@ -139,10 +139,10 @@
         return self._random.sample(members, min(size, len(members)))
 
     def _pick_silent(self, now: float) -> Iterator[Address]:
-        """Yield a random address among silent members and configured peers.
+        """Yield one random address of the silent members and peers, if any.
 
-        These heartbeats find the first peers after a start, and zones again
-        after a partition.
+        Configured peers that are not live count as silent. These heartbeats
+        find the first peers after a start, and zones again after a partition.
         """
         alive = {_address(member) for member in self.view.live_members(now)}
         known = {_address(member) for member in self.view.members()}
--- a/gentiantrestle/daemon/membership/view.py
+++ b/gentiantrestle/daemon/membership/view.py
@@ -54,7 +54,7 @@
 
 
 class MembershipView:
-    """Known members; one is alive while its beat advances.
+    """The known members; a member is alive while its beat advances.
 
     Silence is measured on the local monotonic clock, in s.
     """
--- a/gentiantrestle/daemon/report/burn.py
+++ b/gentiantrestle/daemon/report/burn.py
@@ -15,7 +15,7 @@
 class Objective(NamedTuple):
     """The share of events that must be good.
 
-    For objectives on durations, one is good up to ``bound`` s.
+    In an objective on durations, a duration of up to ``bound`` s is good.
     """
 
     share: float
--- a/gentiantrestle/daemon/report/measurement.py
+++ b/gentiantrestle/daemon/report/measurement.py
@@ -14,7 +14,7 @@
 from gentiantrestle.errors import OVERLOADED, RefusedError
 from gentiantrestle.http.messages import Response
 
-SERVER_ERROR = 500
+SERVER_ERROR = 500  # lowest HTTP status
 EVENT_END = b'\n\n'
 ERROR_EVENT = b'event: error'
 
@@ -28,11 +28,11 @@
         counter: BurnCounter,
         endpoint: str,
     ) -> None:
-        """Start the clock."""
+        """Measure times from now on."""
         self._ctx = ctx
         self._counter = counter
         self._endpoint = endpoint
-        self._began = ctx.now()
+        self._started_at = ctx.now()
 
     def record_refusal(self, exc: RefusedError) -> None:
         """Count a refusal, unless the caller's request is at fault."""
@@ -58,7 +58,7 @@
         async for part in body:
             if first_at is None:
                 first_at = self._ctx.now()
-                self._record_duration(FIRST_TOKEN, first_at - self._began)
+                self._record_duration(FIRST_TOKEN, first_at - self._started_at)
             event_count += part.count(EVENT_END)
             last_part = part
             yield part
--- a/gentiantrestle/daemon/report/service.py
+++ b/gentiantrestle/daemon/report/service.py
@@ -1,4 +1,4 @@
-"""The child that reports on burn for an instance, a zone or the fleet."""
+"""The child that reports burn rates of an instance, zone or the fleet."""
 
 import asyncio
 from collections.abc import Iterable
@@ -83,7 +83,7 @@
 
     async def gather(self, scope: str) -> GatheredReport:
         """Sum the rows of all live instances of a scope, one of ``SCOPES``."""
-        members = self._members(scope)
+        members = self._other_members(scope)
         answers = await asyncio.gather(*map(self._request_rows, members))
         rows = list(self._counter.rows(self._ctx.now()))
         missing = []
@@ -125,7 +125,7 @@
             at_risk,
         )
 
-    def _members(self, scope: str) -> list[Member]:
+    def _other_members(self, scope: str) -> list[Member]:
         if scope == INSTANCE_SCOPE:
             return []
         zone = self._ctx.cfg.zone
--- a/gentiantrestle/daemon/upstreams/adapter.py
+++ b/gentiantrestle/daemon/upstreams/adapter.py
@@ -1,4 +1,4 @@
-"""Protocol of the engines and plain services; changes when they do."""
+"""Protocol of the upstreams: engines and plain services; no I/O."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -12,7 +12,7 @@
 EVENT_END = b'\n\n'
 EVENT_START = b'data: '
 TAIL_LENGTH = 32  # bytes
-DEFAULT_TOKENS = 16
+DEFAULT_TOKENS = 16  # for requests without a valid max_tokens
 COMPLETIONS = '/v1/completions'
 CHAT = '/v1/chat/completions'
 
@@ -52,7 +52,7 @@
 
 
 def build_stream_body(body: Mapping[str, Any], received_tokens: int) -> bytes:
-    """Build the body that asks for a stream after the tokens received."""
+    """Build the body that asks for a stream from the next token on."""
     request = {**body, 'stream': True}
     if received_tokens:
         request['resume_from'] = received_tokens
--- a/gentiantrestle/daemon/upstreams/health.py
+++ b/gentiantrestle/daemon/upstreams/health.py
@@ -4,11 +4,11 @@
 from statistics import median
 from typing import NamedTuple
 
-SMOOTHING = 0.2
+SMOOTHING = 0.2  # weight of a new sample
 MAX_BACKOFF = 20.0  # seconds
 FIRST_BACKOFF = 0.5  # seconds
 FAILURES_TO_OPEN = 3
-SLOW_FACTOR = 2.5
+SLOW_FACTOR = 2.5  # times the median pace of the peers
 MIN_PACE_SAMPLES = 4
 MAX_PACE_AGE = 5.0  # seconds
 
@@ -47,7 +47,7 @@
             self.open_until = now + backoff * (1 + jitter)
 
     def record_pace(self, seconds: float, now: float) -> None:
-        """Record how many seconds one token of an answer took."""
+        """Record how many seconds one token took; drop an outdated pace."""
         if self.pace is None or now - self.measured_at > MAX_PACE_AGE:
             self.pace = seconds
             self.samples = 0
--- a/gentiantrestle/daemon/upstreams/leaving.py
+++ b/gentiantrestle/daemon/upstreams/leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that are leaving, from whatever source this is known; no I/O."""
+"""The set of upstreams that are leaving; no I/O."""
 
 
 class LeavingUpstreams:
@@ -16,13 +16,13 @@
         return name in self._incarnations
 
     def add(self, name: str, incarnation: int) -> bool:
-        """Add an incarnation; return False if the name was in the set."""
-        marked = self._incarnations.get(name)
-        self._incarnations[name] = max(incarnation, marked or 0)
-        return marked is None
+        """Add an incarnation; return False if the name was already there."""
+        known = self._incarnations.get(name)
+        self._incarnations[name] = max(incarnation, known or 0)
+        return known is None
 
     def clear_if_newer(self, name: str, incarnation: int) -> None:
         """Remove an upstream if this live incarnation is a newer one."""
-        marked = self._incarnations.get(name)
-        if marked is not None and incarnation > marked:
+        known = self._incarnations.get(name)
+        if known is not None and incarnation > known:
             self._incarnations.pop(name)
--- a/gentiantrestle/daemon/upstreams/loads.py
+++ b/gentiantrestle/daemon/upstreams/loads.py
@@ -16,7 +16,7 @@
 
 
 class OnlinePressure(NamedTuple):
-    """Online load of an upstream, and how far it is unknown.
+    """Online load of an upstream, and how uncertain it is.
 
     ``online`` counts requests in flight; ``uncertain_instances`` those
     instances whose load may not be included.
@@ -27,7 +27,7 @@
 
 
 class ReceivedReport(NamedTuple):
-    """An instance's own loads, and the local time they were received."""
+    """The loads that a peer reported, and the local time of receipt in s."""
 
     received_at: float
     loads: tuple[Load, ...]
--- a/gentiantrestle/daemon/upstreams/routing.py
+++ b/gentiantrestle/daemon/upstreams/routing.py
@@ -8,8 +8,8 @@
 
 RETRY_AFTER = 1  # seconds
 AFFINITY_PREFIX_LENGTH = 64  # characters
-AFFINITY_SLACK = 0.25
-BORROW_MARGIN = 0.125
+AFFINITY_SLACK = 0.25  # added to the lowest cost
+BORROW_MARGIN = 0.125  # of the slots
 
 
 class Candidate(NamedTuple):
--- a/gentiantrestle/daemon/upstreams/service.py
+++ b/gentiantrestle/daemon/upstreams/service.py
@@ -22,7 +22,7 @@
 from gentiantrestle.models import Address, DeploymentDoc, UpstreamDoc
 
 CONNECT_TIMEOUT = 1.0  # seconds
-POOL_SIZE = 512
+POOL_SIZE = 512  # connections
 LIVE_PREFIX = 'live/'
 
 
@@ -231,9 +231,9 @@
             return region
         return self._view.region_of(zone)
 
-    def _apply_live_list(self, copied: MirroredObject) -> None:
-        document: dict[str, Any] = copied.document or {}
-        zone = copied.name.removeprefix(LIVE_PREFIX)
+    def _apply_live_list(self, mirrored: MirroredObject) -> None:
+        document: dict[str, Any] = mirrored.document or {}
+        zone = mirrored.name.removeprefix(LIVE_PREFIX)
         self._regions[zone] = document.get('region', '')
         for name, entry in document.get('upstreams', {}).items():
             incarnation = entry.get('incarnation', 0)
--- a/gentiantrestle/library/connection.py
+++ b/gentiantrestle/library/connection.py
@@ -49,7 +49,7 @@
     def __init__(self, address: str, key: str) -> None:
         """Use an address ``IP:PORT`` and the key of a client account.
 
-        No connection is opened yet. Raise ``ValueError`` if the port is no
+        No connection is opened yet. Raise ``ValueError`` if the port is not a
         number.
         """
         self._address = Address.parse(address)
--- a/gentiantrestle/models.py
+++ b/gentiantrestle/models.py
@@ -11,7 +11,7 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Parse ``IP:PORT``; raise ``ValueError`` if the port is no number."""
+        """Parse ``IP:PORT``; raise ``ValueError`` if PORT is not a number."""
         host, _, port = text.rpartition(':')
         return cls(host, int(port))
 
--- a/gentiantrestle/options.py
+++ b/gentiantrestle/options.py
@@ -77,7 +77,14 @@
         0.2,
         60,
     ),
-    Option('lease', 6.0, 'Duration of the lease on a chunk.', 's', 1, 300),
+    Option(
+        'lease',
+        6.0,
+        'Duration of the lease of an instance on its chunks.',
+        's',
+        1,
+        300,
+    ),
     Option('grace', 30.0, 'Longest time for a graceful stop.', 's', 0, 600),
     Option('store_timeout', 2.0, 'Timeout of a store call.', 's', 0.1, 60),
     Option(
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -19,7 +19,7 @@
 ABSENT = 0  # expected version of an object that must not exist yet
 WRITE_TOKEN = 'token'
 ROOT = '/v1/objects'
-POOL_SIZE = 32
+POOL_SIZE = 32  # connections
 WATCH_WAIT = 10.0  # seconds
 RETRY_DELAY = 0.1  # seconds; doubled with each attempt
 MAX_WRITE_ATTEMPTS = 5
@@ -79,7 +79,10 @@
 
 
 class StoreClient:
-    """Reads and conditional writes; resolves writes without a response."""
+    """Reads objects and writes them conditionally.
+
+    Reads raise ``StoreUnavailableError`` if the store does not answer.
+    """
 
     def __init__(self, ctx: Context) -> None:
         """Create separate connection pools for calls and for the watch."""
@@ -140,7 +143,10 @@
         raise StoreOutcomeUnknownError(name)
 
     async def delete(self, name: str) -> None:
-        """Delete an object; idempotent."""
+        """Delete an object; idempotent.
+
+        Raises ``StoreUnavailableError`` or ``StoreOutcomeUnknownError``.
+        """
         await self._call('write', ClientRequest('DELETE', _target(name)))
 
     def close(self) -> None:
