--- a/tests/decisions/test_chunks.py
+++ b/tests/decisions/test_chunks.py
@@ -42,14 +42,14 @@
 
 
 class Store:
-    """One record; a write must name the version it was read at."""
+    """One record with conditional writes, as in the object store."""
 
     def __init__(self) -> None:
         self.record: ChunkRecord | None = None
         self.version = 0
 
     def write(self, record: ChunkRecord, expected: int) -> bool:
-        """Write if the record was not written since."""
+        """Write if ``expected`` is the current version; tell whether it was."""
         if expected != self.version:
             return False
         self.record = record
@@ -58,7 +58,7 @@
 
 
 class Worker:
-    """A holder's view of the chunk: what it believes it holds."""
+    """A holder's copy of the record, maybe outdated, and unsaved items."""
 
     def __init__(self) -> None:
         self.record: ChunkRecord | None = None
--- a/tests/decisions/test_policy.py
+++ b/tests/decisions/test_policy.py
@@ -267,8 +267,8 @@
     rule = HedgeRule()
     if start is not None:
         rule.record_start(start)
-    found_delay = rule.delay(prompt, repeatable=repeatable)
-    assert found_delay == delay or found_delay == pytest.approx(delay)
+    actual_delay = rule.delay(prompt, repeatable=repeatable)
+    assert actual_delay == delay or actual_delay == pytest.approx(delay)
 
 
 def test_queue_drops_tickets_past_their_deadline() -> None:
@@ -309,23 +309,23 @@
 
 
 def test_batch_cap_drops_at_once_and_grows_after_a_calm_period() -> None:
-    allowance = BatchCap(SLOTS)
+    batch_cap = BatchCap(SLOTS)
     for step in range(20):
-        allowance.update(OnlinePressure(0, 0), step)
-    assert allowance.current == SLOTS
-    assert allowance.update(OnlinePressure(SLOTS, 0), 20) == 0
-    assert allowance.update(OnlinePressure(0, 0), 20.1) == 0
-    assert allowance.update(OnlinePressure(0, 0), 20.25) == 4
-    assert allowance.update(OnlinePressure(0, 0), 20.26) == 4
+        batch_cap.update(OnlinePressure(0, 0), step)
+    assert batch_cap.current == SLOTS
+    assert batch_cap.update(OnlinePressure(SLOTS, 0), 20) == 0
+    assert batch_cap.update(OnlinePressure(0, 0), 20.1) == 0
+    assert batch_cap.update(OnlinePressure(0, 0), 20.25) == 4
+    assert batch_cap.update(OnlinePressure(0, 0), 20.26) == 4
 
 
 def test_batch_cap_ignores_short_gaps_in_online_load() -> None:
     """Gaps of 0.1 s between online requests do not raise the cap."""
-    allowance = BatchCap(SLOTS)
+    batch_cap = BatchCap(SLOTS)
     caps = []
     for step in range(100):
         busy = SLOTS if step % 2 else 0
-        caps.append(allowance.update(OnlinePressure(busy, 0), step / 10))
+        caps.append(batch_cap.update(OnlinePressure(busy, 0), step / 10))
     assert set(caps[2:]) == {0}
 
 
--- a/tests/interfaces/test_callers.py
+++ b/tests/interfaces/test_callers.py
@@ -62,7 +62,7 @@
 
 
 @pytest.fixture(scope='module')
-def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
+def sync_fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
     """Share one fleet between the scenarios."""
     shared = SyncFleet(tmp_path_factory.mktemp('callers'))
     yield shared
@@ -70,22 +70,22 @@
 
 
 @given('an instance with one engine')
-def _instance(world: SyncFleet) -> None:
-    world.reply = None
+def _instance(sync_fleet: SyncFleet) -> None:
+    sync_fleet.reply = None
 
 
 @when(parsers.re('a caller sends (?P<request>.*)'))
-def _send(world: SyncFleet, request: str) -> None:
+def _send(sync_fleet: SyncFleet, request: str) -> None:
     request = request.strip()
     if request in INVALID_BODIES:
-        world.call('POST', COMPLETIONS, INVALID_BODIES[request])
+        sync_fleet.call('POST', COMPLETIONS, INVALID_BODIES[request])
     elif request in RAW_REQUESTS:
-        world.call_raw(RAW_REQUESTS[request])
+        sync_fleet.call_raw(RAW_REQUESTS[request])
     else:
-        _send_other(world, request)
+        _send_other(sync_fleet, request)
 
 
-def _send_other(world: SyncFleet, request: str) -> None:
+def _send_other(sync_fleet: SyncFleet, request: str) -> None:
     chat = '/v1/chat/completions'
     string_messages = {'model': 'chat', 'messages': ['hi']}
     calls: dict[str, tuple[str, str, Any, dict[str, str]]] = {
@@ -97,73 +97,80 @@
         "a client's key to admin": ('GET', '/admin/config', b'', {}),
     }
     method, target, body, fields = calls[request]
-    world.call(method, target, body, **fields)
+    sync_fleet.call(method, target, body, **fields)
 
 
 @when(parsers.re('a caller submits (?P<job>.*)'))
-def _submit(world: SyncFleet, job: str) -> None:
+def _submit(sync_fleet: SyncFleet, job: str) -> None:
     window = '-1' if job == 'an invalid window' else '60'
     target = f'/v1/batches?completion_window={window}'
-    world.call('POST', target, INVALID_JOBS[job.strip()])
+    sync_fleet.call('POST', target, INVALID_JOBS[job.strip()])
 
 
 @then(parsers.parse('the answer is {status:d} of type {kind}'))
-def _answer(world: SyncFleet, status: int, kind: str) -> None:
-    assert (world.reply.status, world.reply.json()['error']['type']) == (
+def _answer(sync_fleet: SyncFleet, status: int, kind: str) -> None:
+    assert (
+        sync_fleet.reply.status,
+        sync_fleet.reply.json()['error']['type'],
+    ) == (
         status,
         kind.strip(),
     )
 
 
 @then('the answer says that the work was not run')
-def _not_run(world: SyncFleet) -> None:
-    assert world.reply.headers['x-run'] == 'not run'
-    assert world.reply.json()['error']['run'] == 'not run'
+def _not_run(sync_fleet: SyncFleet) -> None:
+    assert sync_fleet.reply.headers['x-run'] == 'not run'
+    assert sync_fleet.reply.json()['error']['run'] == 'not run'
 
 
 @then('the answer names a remedy')
-def _remedy(world: SyncFleet) -> None:
-    assert world.reply.json()['error']['remedy'].endswith('.')
+def _remedy(sync_fleet: SyncFleet) -> None:
+    assert sync_fleet.reply.json()['error']['remedy'].endswith('.')
 
 
 @then('no engine has run anything')
-def _no_run(world: SyncFleet) -> None:
-    assert not world.runner.run(world.fleet.engine_runs())
+def _no_run(sync_fleet: SyncFleet) -> None:
+    assert not sync_fleet.runner.run(sync_fleet.fleet.engine_runs())
 
 
 @then(parsers.parse('the message has "{words}"'))
-def _words(world: SyncFleet, words: str) -> None:
-    assert words in world.reply.json()['error']['message']
+def _words(sync_fleet: SyncFleet, words: str) -> None:
+    assert words in sync_fleet.reply.json()['error']['message']
 
 
 @then('the account has no job')
-def _no_job(world: SyncFleet) -> None:
-    world.call('GET', '/v1/batches', b'')
-    assert not world.reply.json()['data']
+def _no_job(sync_fleet: SyncFleet) -> None:
+    sync_fleet.call('GET', '/v1/batches', b'')
+    assert not sync_fleet.reply.json()['data']
 
 
-def test_a_job_of_another_account_is_not_found(world: SyncFleet) -> None:
-    world.call('POST', '/v1/batches', job_lines(1), idempotency_key='mine')
-    job = world.reply.json()['id']
-    world.call('GET', f'/v1/batches/{job}', b'', key='other-key')
-    assert world.reply.status == 404
-    world.call('POST', f'/v1/batches/{job}/cancel', b'', key='other-key')
-    assert world.reply.status == 404
+def test_a_job_of_another_account_is_not_found(sync_fleet: SyncFleet) -> None:
+    sync_fleet.call('POST', '/v1/batches', job_lines(1), idempotency_key='mine')
+    job = sync_fleet.reply.json()['id']
+    sync_fleet.call('GET', f'/v1/batches/{job}', b'', key='other-key')
+    assert sync_fleet.reply.status == 404
+    sync_fleet.call('POST', f'/v1/batches/{job}/cancel', b'', key='other-key')
+    assert sync_fleet.reply.status == 404
 
 
-def test_resend_with_another_body_is_a_conflict(world: SyncFleet) -> None:
-    world.call('POST', '/v1/batches', job_lines(1), idempotency_key='twice')
-    world.call('POST', '/v1/batches', job_lines(2), idempotency_key='twice')
-    assert world.reply.status == 409
-    assert world.reply.json()['error']['type'] == 'idempotency_key_reused'
+def test_resend_with_another_body_is_a_conflict(sync_fleet: SyncFleet) -> None:
+    sync_fleet.call(
+        'POST', '/v1/batches', job_lines(1), idempotency_key='twice'
+    )
+    sync_fleet.call(
+        'POST', '/v1/batches', job_lines(2), idempotency_key='twice'
+    )
+    assert sync_fleet.reply.status == 409
+    assert sync_fleet.reply.json()['error']['type'] == 'idempotency_key_reused'
 
 
-def test_probes_and_metrics_need_no_key(world: SyncFleet) -> None:
+def test_probes_and_metrics_need_no_key(sync_fleet: SyncFleet) -> None:
     for target in ('/healthz', '/readyz', '/metrics'):
-        world.call('GET', target, b'', authorization='none')
-        assert world.reply.status == 200
-    assert b'gentiantrestle_store_calls_total' in world.reply.body
-    assert CLIENT_KEY.encode() not in world.reply.body
+        sync_fleet.call('GET', target, b'', authorization='none')
+        assert sync_fleet.reply.status == 200
+    assert b'gentiantrestle_store_calls_total' in sync_fleet.reply.body
+    assert CLIENT_KEY.encode() not in sync_fleet.reply.body
 
 
 def test_slow_header_times_out(tmp_path: Path) -> None:
--- a/tests/interfaces/test_cli.py
+++ b/tests/interfaces/test_cli.py
@@ -20,7 +20,7 @@
 
 
 @pytest.fixture(scope='module')
-def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
+def sync_fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[SyncFleet]:
     """Run one fleet for all tests of this module."""
     shared = SyncFleet(tmp_path_factory.mktemp('cli'))
     yield shared
@@ -28,12 +28,12 @@
 
 
 @pytest.fixture
-def run_tool(world: SyncFleet) -> RunTool:
+def run_tool(sync_fleet: SyncFleet) -> RunTool:
     """Return a function that runs the tool against the fleet."""
 
     def call(*words: str, key: str = CLIENT_KEY) -> ExitStatus:
         environ = {
-            'GENTIANTRESTLE_SERVER': str(world.fleet.http[0]),
+            'GENTIANTRESTLE_SERVER': str(sync_fleet.fleet.http[0]),
             'GENTIANTRESTLE_KEY': key,
         }
         return run(['gentiantrestle', '--json', *words], environ)
@@ -138,9 +138,9 @@
     run_tool: RunTool,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
-    world: SyncFleet,
+    sync_fleet: SyncFleet,
 ) -> None:
-    operator = Operator.connect(str(world.fleet.http[0]), OPERATOR_KEY)
+    operator = Operator.connect(str(sync_fleet.fleet.http[0]), OPERATOR_KEY)
     draft = operator.draft().remove('clients', 'other')
     path = tmp_path / 'fleet.json'
     path.write_text(str(draft))
--- a/tests/interfaces/test_store.py
+++ b/tests/interfaces/test_store.py
@@ -31,7 +31,7 @@
     'one lost answer': {'lose': 1},
     'two lost answers': {'lose': 2},
     'outage': {'outage': True},
-    'refused': {},
+    'server stopped': {},
 }
 
 
@@ -61,14 +61,14 @@
     world['before'] = before
 
 
-@given(parsers.parse('the fault {fault}'))
+@given(parsers.parse('the fault is {fault}'))
 def _fault(world: dict[str, Any], fault: str) -> None:
     world['fault'] = fault
 
 
-@when(parsers.parse('a document is written expecting {expecting}'))
-def _write(world: dict[str, Any], expecting: str) -> None:
-    asyncio.run(_run_write(world, expecting))
+@when(parsers.parse('a document is written if the version is {expected}'))
+def _write(world: dict[str, Any], expected: str) -> None:
+    asyncio.run(_run_write(world, expected))
 
 
 @then(parsers.parse('the outcome is {outcome}'))
@@ -76,12 +76,12 @@
     assert world['outcome'] == outcome
 
 
-@then(parsers.parse('the store holds the document {holds:d} times'))
-def _holds(world: dict[str, Any], holds: int) -> None:
-    assert world['holds'] == holds
+@then(parsers.parse('the store has the new document {count:d} times'))
+def _document_count(world: dict[str, Any], count: int) -> None:
+    assert world['count'] == count
 
 
-async def _run_write(world: dict[str, Any], expecting: str) -> None:
+async def _run_write(world: dict[str, Any], expected: str) -> None:
     standin = PlatformStandin()
     server = Server(standin.handle, ServerLimits())
     await server.start(HOST, world['port'])
@@ -92,15 +92,17 @@
     await send(
         Address(HOST, world['port']), 'POST', '/control', FAULTS[world['fault']]
     )
-    expected = {'absent': ABSENT, 'current': version, 'old': OLD_VERSION}[
-        expecting
-    ]
-    if world['fault'] == 'refused':
+    expected_version = {
+        'absent': ABSENT,
+        'current': version,
+        'old': OLD_VERSION,
+    }[expected]
+    if world['fault'] == 'server stopped':
         await server.stop(0)
         store.close()
-    world['outcome'] = await _put(store, expected)
+    world['outcome'] = await _put(store, expected_version)
     await end_outage(world)
-    world['holds'] = await _count(store, world)
+    world['count'] = await _count(store, world)
     await server.stop(0)
 
 
@@ -110,19 +112,19 @@
     except StoreUnavailableError:
         return 'unavailable'
     except StoreOutcomeUnknownError:
-        return 'unsure'
+        return 'unknown'
     return 'conflict' if isinstance(written, WriteConflict) else 'written'
 
 
 async def end_outage(world: dict[str, Any]) -> None:
     """End the outage if the stand-in is still running."""
-    if world['fault'] != 'refused':
+    if world['fault'] != 'server stopped':
         address = Address(HOST, world['port'])
         await send(address, 'POST', '/control', {'outage': False})
 
 
 async def _count(store: StoreClient, world: dict[str, Any]) -> int:
-    if world['fault'] == 'refused':
+    if world['fault'] == 'server stopped':
         return 0
     found = await store.get(NAME)
     return int(found is not None and found.document['text'] == 'new')
--- a/tests/processes/test_online.py
+++ b/tests/processes/test_online.py
@@ -40,7 +40,7 @@
     )
 
 
-async def _quote(fleet: Fleet, index: int, key: str) -> Reply:
+async def _request_quote(fleet: Fleet, index: int, key: str) -> Reply:
     return await fleet.call(
         index,
         'POST',
@@ -100,7 +100,7 @@
 ) -> None:
     fleet = await start_fleet()
     replies = await asyncio.gather(
-        *(_quote(fleet, index % 3, 'quote-1') for index in range(6))
+        *(_request_quote(fleet, index % 3, 'quote-1') for index in range(6))
     )
     assert {reply.status for reply in replies} == {200}
     assert len({reply.body for reply in replies}) == 1
@@ -109,7 +109,7 @@
 
 async def test_key_reused_for_another_body_is_a_conflict(start_fleet) -> None:
     fleet = await start_fleet()
-    await _quote(fleet, 0, 'key')
+    await _request_quote(fleet, 0, 'key')
     other = await fleet.call(
         1,
         'POST',
@@ -126,11 +126,11 @@
 ) -> None:
     fleet = await start_fleet()
     await fleet.control_service(drop=True)
-    first = await _quote(fleet, 0, 'key')
+    first = await _request_quote(fleet, 0, 'key')
     assert first.status == 502
     assert first.headers['x-run'] == 'unknown'
     await fleet.control_service(drop=False)
-    again = await _quote(fleet, 1, 'key')
+    again = await _request_quote(fleet, 1, 'key')
     assert again.headers['x-run'] == 'unknown'
     assert await fleet.service_runs() == {'quote': 1}
 
@@ -140,17 +140,17 @@
 ) -> None:
     fleet = await start_fleet()
     await fleet.control_service(delay=2)
-    first = asyncio.create_task(_quote(fleet, 0, 'key'))
+    first = asyncio.create_task(_request_quote(fleet, 0, 'key'))
     await until(lambda: fleet.service_runs())
     await fleet.daemons[0].end()
     with pytest.raises(ConnectionLostError):
         await first
-    again = await _quote(fleet, 1, 'key')
+    again = await _request_quote(fleet, 1, 'key')
     assert again.status == 409
     assert again.headers['x-run'] == 'unknown'
     await fleet.start_daemon(0)
     await until(lambda: fleet.is_ready(0))
-    third = await _quote(fleet, 0, 'key')
+    third = await _request_quote(fleet, 0, 'key')
     assert third.headers['x-run'] == 'unknown'
     assert await fleet.service_runs() == {'quote': 1}
 
@@ -160,7 +160,7 @@
 ) -> None:
     fleet = await start_fleet()
     await fleet.control_platform(lose=1)
-    reply = await _quote(fleet, 0, 'key')
+    reply = await _request_quote(fleet, 0, 'key')
     assert reply.status == 200
     assert await fleet.service_runs() == {'quote': 1}
 
@@ -171,12 +171,12 @@
     fleet = await start_fleet()
     await fleet.control_platform(outage=True)
     assert (await _complete(fleet, 0)).status == 200
-    refused = await _quote(fleet, 0, 'key')
+    refused = await _request_quote(fleet, 0, 'key')
     assert refused.status == 503
     assert refused.headers['x-run'] == 'not run'
     assert not await fleet.service_runs()
     await fleet.control_platform(outage=False)
-    assert (await _quote(fleet, 1, 'key')).status == 200
+    assert (await _request_quote(fleet, 1, 'key')).status == 200
 
 
 async def test_planned_stop_completes_running_streams(start_fleet) -> None:
--- a/tests/utils/http.py
+++ b/tests/utils/http.py
@@ -33,7 +33,7 @@
     """Send one request and return its whole response.
 
     A body that isn't bytes is sent as JSON. Names of headers have underscores
-    for dashes. Raise ``NotSentError`` or ``LostError``.
+    for dashes. Raise ``NotSentError`` or ``ConnectionLostError``.
     """
     if not isinstance(body, bytes):
         body = msgspec.json.encode(body)
