--- a/gentiantrestle/core.py
+++ b/gentiantrestle/core.py
@@ -28,22 +28,22 @@
 
 def run(argv: Sequence[str], environ: Mapping[str, str]) -> ExitStatus:
     """Read the settings, then serve until a signal asks to stop."""
-    values = _define_all_flags()
+    flag_values = _define_all_flags()
     try:
-        arguments = values(argv)
+        arguments = flag_values(argv)
     except flags.Error as exc:
         return _report_errors([str(exc), 'See gentiantrestled --help.'])
     if len(arguments) > 1:
         return _report_errors(['The daemon takes only flags, no arguments.'])
-    if values[HELP].value:
-        sys.stdout.write(values.get_help(include_special_flags=False))
+    if flag_values[HELP].value:
+        sys.stdout.write(flag_values.get_help(include_special_flags=False))
         return ExitStatus.SUCCESS
-    cfg = _read_settings(values, environ)
+    cfg = _read_settings(flag_values, environ)
     if isinstance(cfg, list):
         return _report_errors(
             [f'{problem.reason}. {problem.remedy}' for problem in cfg]
         )
-    return _check_or_serve(cfg, only_check=values[CHECK].value)
+    return _check_or_serve(cfg, only_check=flag_values[CHECK].value)
 
 
 async def serve(cfg: Settings) -> ExitStatus:
@@ -76,11 +76,13 @@
 
 
 def _read_settings(
-    values: flags.FlagValues,
+    flag_values: flags.FlagValues,
     environ: Mapping[str, str],
 ) -> Settings | list[SettingProblem]:
     given = {
-        name: values[name].value for name in values if values[name].present
+        name: flag_values[name].value
+        for name in flag_values
+        if flag_values[name].present
     }
     return Settings.from_sources(given, environ)
 
@@ -93,16 +95,16 @@
 
 
 def _define_all_flags() -> flags.FlagValues:
-    values = flags.FlagValues()
-    define_flags(values)
+    flag_values = flags.FlagValues()
+    define_flags(flag_values)
     flags.DEFINE_bool(
         CHECK,
         False,
         'Print each setting with its source, then exit.',
-        flag_values=values,
+        flag_values=flag_values,
     )
-    flags.DEFINE_bool(HELP, False, 'Print this help.', flag_values=values)
-    return values
+    flags.DEFINE_bool(HELP, False, 'Print this help.', flag_values=flag_values)
+    return flag_values
 
 
 def _record_signal(
--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -62,21 +62,21 @@
         """Give the upload a unique name."""
         self._store = store
         self.name = uuid4().hex
-        self.count = 0
+        self.chunk_count = 0
 
     async def add(self, items: list[ItemLine]) -> None:
         """Store the items of the next chunk.
 
         Raises ``StoreUnavailableError`` or ``StoreOutcomeUnknownError``.
         """
-        name = input_name(self.name, self.count)
-        self.count += 1
+        name = input_name(self.name, self.chunk_count)
+        self.chunk_count += 1
         await self._store.put(name, {'items': items}, ABSENT)
 
     async def discard(self) -> None:
         """Delete the stored items of an unused upload; best effort."""
         with suppress(StoreUnavailableError, StoreOutcomeUnknownError):
-            for index in range(self.count):
+            for index in range(self.chunk_count):
                 await self._store.delete(input_name(self.name, index))
 
 
@@ -222,7 +222,7 @@
             endpoint=summary.endpoint,
             url=summary.url,
             items=summary.items,
-            chunks=upload.count,
+            chunks=upload.chunk_count,
             created=wall_time,
             deadline=wall_time + submission.window,
             region=self._ctx.cfg.region,
--- a/gentiantrestle/daemon/entry/authentication.py
+++ b/gentiantrestle/daemon/entry/authentication.py
@@ -34,13 +34,13 @@
     """
     if not authorization.startswith(SCHEME):
         return Refusal(UNAUTHORIZED, 'The request has no key')
-    given = hash_key(authorization.removeprefix(SCHEME).strip())
+    given_hash = hash_key(authorization.removeprefix(SCHEME).strip())
     found = None
-    if admin_key_hash and hmac.compare_digest(given, admin_key_hash):
+    if admin_key_hash and hmac.compare_digest(given_hash, admin_key_hash):
         found = Identity(OPERATOR_NAME, admin=True)
     for name, client in fleet['clients'].items():
         for key_hash in client['key_hashes']:
-            if hmac.compare_digest(given, key_hash):
+            if hmac.compare_digest(given_hash, key_hash):
                 found = Identity(name, bool(client.get('admin')))
     return found or Refusal(UNAUTHORIZED, 'The key is not known')
 
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -64,7 +64,7 @@
         self.components = components
         self.cfg = cfg
         self.batch = components.batch
-        self._requests = components.ctx.metrics.requests
+        self._request_counter = components.ctx.metrics.requests
         self.stopping = False
         self._server = Server(
             self._answer,
@@ -109,7 +109,7 @@
             response = await self._dispatch(match, req)
         except RefusedError as exc:
             response = refusal_response(exc.refusal)
-        self._requests.inc(
+        self._request_counter.inc(
             {
                 'route': match.route.label,
                 'status': str(response.status),
--- a/gentiantrestle/daemon/membership/peers.py
+++ b/gentiantrestle/daemon/membership/peers.py
@@ -35,14 +35,14 @@
     ) -> None:
         """Start a task that reads the answers."""
         self._writer = writer
-        self._calls = count(1)
+        self._call_numbers = count(1)
         self._pending: dict[int, asyncio.Future[Envelope]] = {}
-        self._task = asyncio.create_task(self._read(reader))
+        self._read_task = asyncio.create_task(self._read(reader))
 
     @property
     def usable(self) -> bool:
         """Tell whether the connection is open and being read."""
-        return not self._task.done() and not self._writer.is_closing()
+        return not self._read_task.done() and not self._writer.is_closing()
 
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
         """Send a call and return its answer.
@@ -50,7 +50,7 @@
         Raises ``PeerError`` without an answer in ``timeout`` s, and when the
         connection is lost.
         """
-        envelope.call = next(self._calls)
+        envelope.call = next(self._call_numbers)
         fut = asyncio.get_running_loop().create_future()
         self._pending[envelope.call] = fut
         try:
@@ -64,7 +64,7 @@
 
     def close(self) -> None:
         """Stop reading and close the connection."""
-        self._task.cancel()
+        self._read_task.cancel()
         self._writer.close()
 
     def _resolve(self, envelope: Envelope) -> None:
--- a/gentiantrestle/daemon/online/queue.py
+++ b/gentiantrestle/daemon/online/queue.py
@@ -25,7 +25,7 @@
 
     def __init__(self, length: int) -> None:
         """Hold at most ``length`` requests."""
-        self._length = length
+        self._max_length = length
         self._clients: OrderedDict[str, deque[Ticket]] = OrderedDict()
         self._size = 0
 
@@ -47,7 +47,7 @@
         returned.
         """
         evicted = None
-        if self._size >= self._length:
+        if self._size >= self._max_length:
             evicted = self._make_room(ticket.client)
             if isinstance(evicted, Refusal):
                 return evicted
--- a/gentiantrestle/daemon/online/race.py
+++ b/gentiantrestle/daemon/online/race.py
@@ -27,9 +27,9 @@
             waiting,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        good = [task for task in done if has_succeeded(task)]
-        if good:
-            return mark_winner(good[0])
+        succeeded = [task for task in done if has_succeeded(task)]
+        if succeeded:
+            return mark_winner(succeeded[0])
         if not waiting:
             return done.pop().result()
 
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -89,8 +89,8 @@
         self._ctx = ctx
         timeout = ctx.cfg.store_timeout
         address = ctx.cfg.store_address
-        self._calls = ConnectionPool(address, POOL_SIZE, timeout)
-        self._watches = ConnectionPool(address, 1, timeout)
+        self._call_pool = ConnectionPool(address, POOL_SIZE, timeout)
+        self._watch_pool = ConnectionPool(address, 1, timeout)
         self.reachable = True
 
     async def get(self, name: str) -> VersionedDocument | None:
@@ -151,8 +151,8 @@
 
     def close(self) -> None:
         """Close idle connections."""
-        self._calls.close()
-        self._watches.close()
+        self._call_pool.close()
+        self._watch_pool.close()
 
     async def _try_write(
         self,
@@ -205,7 +205,7 @@
         reply = await self._call(
             'watch' if wait else 'compare',
             ClientRequest('GET', f'/v1/watch?{urlencode(query)}'),
-            pool=self._watches if wait else self._calls,
+            pool=self._watch_pool if wait else self._call_pool,
             timeout=wait + self._ctx.cfg.store_timeout,
         )
         return msgspec.json.decode(reply.body, type=ObjectList)
@@ -229,7 +229,9 @@
         )
         try:
             async with asyncio.timeout(timeout or self._ctx.cfg.store_timeout):
-                response, body = await (pool or self._calls).fetch(zoned_req)
+                response, body = await (pool or self._call_pool).fetch(
+                    zoned_req
+                )
         except NotSentError as exc:
             self._set_reachable(reachable=False, error=str(exc))
             raise StoreUnavailableError(str(exc)) from exc
--- a/tests/processes/test_batch.py
+++ b/tests/processes/test_batch.py
@@ -210,8 +210,8 @@
     assert refused.json()['error']['type'] == 'conflict'
 
 
-async def _owner_of_started_chunk(fleet: Fleet, job: str) -> str | None:
-    """Return the holder of a chunk with started items and no result."""
+async def _find_owner_of_started_chunk(fleet: Fleet, job: str) -> str | None:
+    """Return the owner of a chunk with started items and no result."""
     for record in (await fleet.chunk_records(job)).values():
         if record['started'] != '0' and record['settled'] == '0':
             return record['owner']
@@ -222,7 +222,7 @@
     fleet = await start_fleet(engine_words=SLOW_STEP)
     lines = job_lines(40, TOKENS, endpoint='once')
     job = (await fleet.submit(0, lines, 'job')).json()['id']
-    owner = await until(lambda: _owner_of_started_chunk(fleet, job))
+    owner = await until(lambda: _find_owner_of_started_chunk(fleet, job))
     holder = int(owner.removeprefix('i'))
     await fleet.daemons[holder].end()
     reader = (holder + 1) % 3
