--- a/gentiantrestle/daemon/batch/acceptance.py
+++ b/gentiantrestle/daemon/batch/acceptance.py
@@ -43,7 +43,8 @@
     """A job that a client submits.
 
     ``window`` is the time until the deadline in seconds, ``body_size`` the
-    size in bytes or 0 if unknown.
+    size in bytes or 0 if unknown. ``max_jobs`` limits the running jobs of the
+    client.
     """
 
     client: str
@@ -61,18 +62,21 @@
         """Give the upload a unique name."""
         self._store = store
         self.name = uuid4().hex
-        self.count = 0
+        self.chunk_count = 0
 
     async def add(self, items: list[ItemLine]) -> None:
-        """Store the items of the next chunk; raise if the store fails."""
-        name = input_name(self.name, self.count)
-        self.count += 1
+        """Store the items of the next chunk.
+
+        Raises ``StoreUnavailableError`` or ``StoreOutcomeUnknownError``.
+        """
+        name = input_name(self.name, self.chunk_count)
+        self.chunk_count += 1
         await self._store.put(name, {'items': items}, ABSENT)
 
     async def discard(self) -> None:
         """Delete the stored items of an unused upload; best effort."""
         with suppress(StoreUnavailableError, StoreOutcomeUnknownError):
-            for index in range(self.count):
+            for index in range(self.chunk_count):
                 await self._store.delete(input_name(self.name, index))
 
 
@@ -85,7 +89,7 @@
         store: StoreClient,
         configuration: Configuration,
     ) -> None:
-        """Write to the store, and accepted jobs to its local copy too."""
+        """Write to the store, and accepted jobs to the local mirror too."""
         self._ctx = ctx
         self._store = store
         self._configuration = configuration
@@ -125,9 +129,9 @@
 
     def _check_job_limit(self, submission: Submission) -> None:
         running = sum(
-            copied.document['state'] == RUNNING
-            and copied.document['client'] == submission.client
-            for copied in self._configuration.mirror.with_prefix(JOB_PREFIX)
+            mirrored.document['state'] == RUNNING
+            and mirrored.document['client'] == submission.client
+            for mirrored in self._configuration.mirror.with_prefix(JOB_PREFIX)
         )
         if running >= submission.max_jobs:
             raise refuse(
@@ -218,7 +222,7 @@
             endpoint=summary.endpoint,
             url=summary.url,
             items=summary.items,
-            chunks=upload.count,
+            chunks=upload.chunk_count,
             created=wall_time,
             deadline=wall_time + submission.window,
             region=self._ctx.cfg.region,
--- a/gentiantrestle/daemon/entry/service.py
+++ b/gentiantrestle/daemon/entry/service.py
@@ -34,14 +34,14 @@
 
 
 class Components(NamedTuple):
-    """The daemon's other components, for use by the routes."""
+    """The components of the daemon that the routes use."""
 
     ctx: Context
     store: StoreClient
     membership: Membership
     configuration: Configuration
     admin: Admin
-    fleet: UpstreamRegistry
+    upstreams: UpstreamRegistry
     online: OnlineService
     batch: Batch
     reporter: Reporter
@@ -64,7 +64,7 @@
         self.components = components
         self.cfg = cfg
         self.batch = components.batch
-        self._requests = components.ctx.metrics.requests
+        self._request_counter = components.ctx.metrics.requests
         self.stopping = False
         self._server = Server(
             self._answer,
@@ -109,7 +109,7 @@
             response = await self._dispatch(match, req)
         except RefusedError as exc:
             response = refusal_response(exc.refusal)
-        self._requests.inc(
+        self._request_counter.inc(
             {
                 'route': match.route.label,
                 'status': str(response.status),
--- a/gentiantrestle/store/client.py
+++ b/gentiantrestle/store/client.py
@@ -19,7 +19,7 @@
 ABSENT = 0  # expected version of an object that must not exist yet
 WRITE_TOKEN = 'token'
 ROOT = '/v1/objects'
-POOL_SIZE = 32
+POOL_SIZE = 32  # connections
 WATCH_WAIT = 10.0  # seconds
 RETRY_DELAY = 0.1  # seconds; doubled with each attempt
 MAX_WRITE_ATTEMPTS = 5
@@ -79,15 +79,18 @@
 
 
 class StoreClient:
-    """Reads and conditional writes; resolves writes without a response."""
+    """Reads objects and writes them conditionally.
+
+    Reads raise ``StoreUnavailableError`` if the store does not answer.
+    """
 
     def __init__(self, ctx: Context) -> None:
         """Create separate connection pools for calls and for the watch."""
         self._ctx = ctx
         timeout = ctx.cfg.store_timeout
         address = ctx.cfg.store_address
-        self._calls = ConnectionPool(address, POOL_SIZE, timeout)
-        self._watches = ConnectionPool(address, 1, timeout)
+        self._call_pool = ConnectionPool(address, POOL_SIZE, timeout)
+        self._watch_pool = ConnectionPool(address, 1, timeout)
         self.reachable = True
 
     async def get(self, name: str) -> VersionedDocument | None:
@@ -140,13 +143,16 @@
         raise StoreOutcomeUnknownError(name)
 
     async def delete(self, name: str) -> None:
-        """Delete an object; idempotent."""
+        """Delete an object; idempotent.
+
+        Raises ``StoreUnavailableError`` or ``StoreOutcomeUnknownError``.
+        """
         await self._call('write', ClientRequest('DELETE', _target(name)))
 
     def close(self) -> None:
         """Close idle connections."""
-        self._calls.close()
-        self._watches.close()
+        self._call_pool.close()
+        self._watch_pool.close()
 
     async def _try_write(
         self,
@@ -199,7 +205,7 @@
         reply = await self._call(
             'watch' if wait else 'compare',
             ClientRequest('GET', f'/v1/watch?{urlencode(query)}'),
-            pool=self._watches if wait else self._calls,
+            pool=self._watch_pool if wait else self._call_pool,
             timeout=wait + self._ctx.cfg.store_timeout,
         )
         return msgspec.json.decode(reply.body, type=ObjectList)
@@ -223,7 +229,9 @@
         )
         try:
             async with asyncio.timeout(timeout or self._ctx.cfg.store_timeout):
-                response, body = await (pool or self._calls).fetch(zoned_req)
+                response, body = await (pool or self._call_pool).fetch(
+                    zoned_req
+                )
         except NotSentError as exc:
             self._set_reachable(reachable=False, error=str(exc))
             raise StoreUnavailableError(str(exc)) from exc
