--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -22,7 +22,7 @@
 
 FLEET_SIZES = (3, 9, 18)
 IDLE_SECONDS = 8.0
-MEBIBYTE = 1048576
+MEBIBYTE = 1048576  # bytes
 US_PER_SECOND = 1_000_000
 MEMBER_COUNTS = (9, 54, 590)
 JOB_COUNT = 13200
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -24,7 +24,7 @@
 OPEN_STREAMS = 200
 TOKENS = 300
 TICKS_PER_SECOND = os.sysconf('SC_CLK_TCK')
-MEBIBYTE = 1048576
+MEBIBYTE = 1048576  # bytes
 
 
 async def measure_hop(folder: Path) -> list[str]:
@@ -50,11 +50,11 @@
         await _time(daemon, call, through)
     lines = []
     for percent in (50, 99):
-        before = direct.get_value_at_percentile(percent)
-        after = through.get_value_at_percentile(percent)
+        direct_us = direct.get_value_at_percentile(percent)
+        through_us = through.get_value_at_percentile(percent)
         lines.append(
-            f'hop p{percent}: direct {before / 1000:.2f} ms, through '
-            f'{after / 1000:.2f} ms, ratio {after / before:.3f}',
+            f'hop p{percent}: direct {direct_us / 1000:.2f} ms, through '
+            f'{through_us / 1000:.2f} ms, ratio {through_us / direct_us:.3f}',
         )
     return lines
 
@@ -111,6 +111,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the CPU time of a process so far, in seconds."""
     fields = Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2].split()
+    # Time in user mode and in kernel mode, in clock ticks.
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -27,7 +27,11 @@
 
 
 class RequestShape(NamedTuple):
-    """One kind of request: tokens of its answer and weight among arrivals."""
+    """One kind of request.
+
+    ``tokens`` is the length of its answer, ``share`` its weight among the
+    arrivals, and ``client`` the key of the client that sends it.
+    """
 
     name: str
     tokens: int
@@ -49,7 +53,11 @@
 
 
 class Timings:
-    """Counts and latencies of requests, as their callers saw them."""
+    """Counts and latencies of requests, as their callers saw them.
+
+    A refused request got a status other than 200. A broken one could not be
+    sent, or its answer was cut.
+    """
 
     def __init__(self) -> None:
         """Start without requests."""
@@ -83,7 +91,10 @@
     shapes: tuple[RequestShape, ...],
     targets: int,
 ) -> Iterator[Arrival]:
-    """Draw Poisson arrivals, ``rate`` a second; the seed fixes them."""
+    """Draw Poisson arrivals, ``rate`` a second, for ``targets`` daemons.
+
+    Equal arguments give equal arrivals.
+    """
     rng = random.Random(seed)
     due = rng.expovariate(rate)
     count = 0
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""Latency of online requests under strain, burst and routing times."""
+"""Online latency beside other load, and times of preemption and routing."""
 
 import asyncio
 import random
@@ -34,6 +34,7 @@
     '--heartbeat=0.25',
 )
 
+# One side of a comparison: runs the arrivals of a seed on a fleet.
 Arm = Callable[[Fleet, int], Awaitable[Timings]]
 
 
@@ -101,8 +102,8 @@
 
 
 async def measure_harm(folder: Path) -> list[str]:
-    """Compare online p99 with and without batch work; add its rate."""
-    done: list[int] = []
+    """Compare online p99 with and without batch work; add its token rate."""
+    batch_tokens: list[int] = []
 
     async def with_batch(fleet: Fleet, seed: int) -> Timings:
         lines = job_lines(20000, 20, prefix=f'b{seed}/')
@@ -111,7 +112,7 @@
         before = sum((await fleet.engine_tokens()).values())
         timings = await _run_online(fleet, seed)
         after = sum((await fleet.engine_tokens()).values())
-        done.append(after - before - timings.whole * SHORT.tokens)
+        batch_tokens.append(after - before - timings.whole * SHORT.tokens)
         await fleet.call(0, 'POST', f'/v1/batches/{job}/cancel')
         await asyncio.sleep(1)
         return timings
@@ -126,7 +127,7 @@
     )
     online = RATE * SHORT.tokens
     full = ENGINES * SLOTS / (0.008 * 2)
-    for tokens in done:
+    for tokens in batch_tokens:
         lines.append(
             f'batch: {tokens / SECONDS:.0f} tokens/s beside {online:.0f} of '
             f'online; full engines make {full:.0f}, so the share of what '
@@ -199,7 +200,7 @@
 
 
 async def measure_burst(folder: Path) -> list[str]:
-    """Time from an online burst until batch work has freed enough slots."""
+    """Measure how soon batch work frees enough slots for an online burst."""
     fleet = await start_fleet(folder)
     lines = []
     try:
@@ -251,7 +252,7 @@
 
 
 async def _overcommitted(fleet: Fleet) -> bool:
-    """Tell whether the burst is still unseen or an engine over its slots."""
+    """Tell whether no online load shows yet or an engine is over its slots."""
     online: Counter[str] = Counter()
     batch: Counter[str] = Counter()
     for status in await _statuses(fleet):
@@ -264,7 +265,7 @@
 
 
 async def measure_decision(folder: Path) -> list[str]:
-    """Time of one routing decision among 350 upstreams, for each policy."""
+    """Measure the time of a routing decision among 350 upstreams."""
     rng = random.Random(7)
     candidates = [
         Candidate(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -14,7 +14,7 @@
 
 
 async def measure_store(folder: Path) -> list[str]:
-    """Store calls for 1,000 batch items; writes for 200 online requests."""
+    """Count store calls for 1,000 batch items, writes for 200 requests."""
     fleet = await start_fleet(folder)
     try:
         before = await _store_calls(fleet)
@@ -62,7 +62,10 @@
 
 
 async def measure_takeover(folder: Path) -> list[str]:
-    """Time from the kill of an owner until others own its held chunks."""
+    """Measure the takeover of the chunks that a killed instance held.
+
+    It is complete when each chunk is done or has another owner.
+    """
     fleet = await start_fleet(folder)
     try:
         job = (await fleet.submit(0, job_lines(60, 600), 'take')).json()
@@ -113,7 +116,7 @@
 
 
 async def measure_config(folder: Path) -> list[str]:
-    """Time from an accepted configuration until all instances use it."""
+    """Measure how long all instances take to apply a configuration."""
     fleet = await start_fleet(folder)
     times = []
     try:
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, the engines and a plain service."""
+"""Stand-ins for the stores, engines, services and upstreams."""
--- a/standins/core.py
+++ b/standins/core.py
@@ -33,7 +33,7 @@
         """Answer one request."""
 
     async def run(self) -> None:
-        """Run the background work until cancelled."""
+        """Run the background work, if any, until cancelled."""
 
 
 KINDS: dict[str, type[Standin]] = {
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -21,7 +21,8 @@
 DEFAULT_TOKENS = 16
 VOCABULARY = 1000
 LOAD_LAG = 1.0  # seconds until /load shows a sample
-OCCUPANCY_COST = 1.0  # extra time of a step with all slots in use, in steps
+# Extra time of a step with all slots in use, as a share of an empty step.
+OCCUPANCY_COST = 1.0
 PREFIX_LENGTH = 64  # characters
 DONE = b'data: [DONE]\n\n'
 POISON = 'poison'
@@ -33,10 +34,11 @@
 class EngineConfig(NamedTuple):
     """Size and speed of the engine.
 
-    ``step`` is the time of a step with an empty batch, and ``prefill`` the
-    time for each character of a prompt whose prefix isn't cached, both in
-    seconds. With ``checks_fencing``, orders with a stale fencing token are
-    refused.
+    ``slots`` is the number of requests that run at once, and
+    ``cached_prefixes`` the number of prefixes that the cache keeps. ``step``
+    is the time of a step with an empty batch, and ``prefill`` the time for
+    each character of a prompt whose prefix isn't cached, both in seconds.
+    With ``checks_fencing``, orders with a stale fencing token are refused.
     """
 
     slots: int = 16
@@ -57,7 +59,7 @@
     """One request inside the engine."""
 
     def __init__(self, body: Mapping[str, Any]) -> None:
-        """Read the request; token ``resume_from`` is the first one made."""
+        """Read the body; ``resume_from`` is the index of the first token."""
         self.prompt = _prompt(body)
         self.max_tokens = int(body.get('max_tokens', DEFAULT_TOKENS))
         self.produced = int(body.get('resume_from', 0))
@@ -202,9 +204,9 @@
             return Response(
                 HTTPStatus.OK, self._events(stream, chat), EVENT_STREAM
             )
-        text = [part async for part in _token_texts(stream)]
+        texts = [text async for text in _token_texts(stream)]
         return json_response(
-            _completion_document(''.join(text), len(text), chat)
+            _completion_document(''.join(texts), len(texts), chat)
         )
 
     async def _events(
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,4 +1,4 @@
-"""Stand-in for the object store of the users' platform, with faults."""
+"""Stand-in for the platform's object store of gateways, with faults."""
 
 import asyncio
 from collections import deque
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the object API of the platform, with faults."""
+"""Stand-in for the object API that daemons use as store, with faults."""
 
 import asyncio
 from collections import Counter
@@ -40,7 +40,7 @@
         self.cut_zones: list[str] = []
 
     async def before_call(self, req: Request) -> None:
-        """Delay the call, or raise ``ClosedError`` to drop it."""
+        """Delay the call, or raise ``ConnectionClosedError`` to drop it."""
         if self.outage or req.headers.get('x-zone') in self.cut_zones:
             raise ConnectionClosedError(
                 'call dropped by the outage or cut_zones fault'
@@ -49,7 +49,7 @@
             await asyncio.sleep(self.delay)
 
     def after_write(self) -> None:
-        """Raise ``ClosedError`` to drop the answer of a finished write."""
+        """Raise ``ConnectionClosedError`` to drop the answer to a write."""
         if self.lose > 0:
             self.lose -= 1
             raise ConnectionClosedError('answer dropped by the lose fault')
--- a/standins/service.py
+++ b/standins/service.py
@@ -11,7 +11,7 @@
 
 
 class ServiceStandin:
-    """Counts the runs of each request body, so that tests see doubled ones.
+    """Counts the runs of each request body, so that tests see repeated ones.
 
     ``POST /control`` sets the faults: ``delay``, in seconds, and ``drop``,
     which closes the connection after the run instead of answering.
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in for an upstream of the users, with faults."""
+"""Stand-in for an upstream of gateways, with faults."""
 
 import asyncio
 import sys
@@ -121,7 +121,7 @@
 
 
 def _print_run(run: dict[str, Any]) -> None:
-    """Write the run to standard output, which outlives this process."""
+    """Print the run, so that it can be read after this process has ended."""
     line = msgspec.json.encode(run).decode()
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
