--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -68,7 +68,7 @@
             )
 
     async def end(self, signum: signal.Signals = signal.SIGKILL) -> int:
-        """Send the process a signal and wait; return its exit status."""
+        """Send a signal, wait for the end, and return the exit status."""
         with suppress(ProcessLookupError):
             self.process.send_signal(signum)
         return await self.process.wait()
@@ -88,7 +88,10 @@
 
 
 class GatewayFleet:
-    """Entries on loopback addresses of their own with the same ports."""
+    """A store, upstreams, and entries on loopback addresses of their own.
+
+    All entries use the same ports.
+    """
 
     def __init__(self, folder: Path, entries: int, upstreams: int) -> None:
         """Choose the addresses; nothing is started yet."""
@@ -212,11 +215,11 @@
         )
 
     async def set_store_faults(self, **faults: Any) -> None:
-        """Replace the faults of the store; none clears them."""
+        """Replace the faults of the store; no arguments clear them."""
         await send(self.store, 'POST', '/control', faults)
 
     async def set_faults(self, upstream: int, **faults: Any) -> None:
-        """Replace the faults of an upstream; none clears them."""
+        """Replace the faults of an upstream; no arguments clear them."""
         await send(self.upstreams[upstream], 'POST', '/control', faults)
 
     async def runs(self) -> list[dict[str, Any]]:
@@ -227,7 +230,7 @@
         return runs
 
     def end_lines(self, entry: int, request_id: str) -> list[dict[str, Any]]:
-        """Return the log lines of an entry on the end of a request."""
+        """Return the lines in which an entry logged the end of a request."""
         return [
             line
             for line in self.entries[entry].log_lines()
@@ -295,7 +298,7 @@
 
 
 def has_applied_config(fleet: GatewayFleet, entry: int, version: int) -> bool:
-    """Tell whether an entry has logged that a version is in force."""
+    """Tell whether an entry has logged a version as applied (event 4001)."""
     return any(
         line['code'] == 4001 and line['revision'] == version
         for line in fleet.entries[entry].log_lines()
--- a/tests/gateway/test_process_jobs.py
+++ b/tests/gateway/test_process_jobs.py
@@ -39,15 +39,15 @@
         )
         assert reply.status == 202
     for entry in range(ENTRIES):
-        found = await read_all(fleet, entry, 'job1')
-        assert found == {
+        outputs = await read_all(fleet, entry, 'job1')
+        assert outputs == {
             f'job1-{number}': expected_output(f'job1-{number}', 9)
             for number in range(6)
         }
-    body = await fleet.request(
+    item_reply = await fleet.request(
         2, 'b', '/gentiantrestle/items/job1?id=job1-3', method='GET'
     )
-    assert body.body == b'{"events":9}'
+    assert item_reply.body == b'{"events":9}'
 
 
 async def test_job_completes_after_its_acceptor_is_killed(
@@ -56,11 +56,11 @@
     reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 4, 40))
     assert reply.status == 202
     await fleet.entries[0].end()
-    found = await read_all(fleet, 1, 'job1')
-    assert found['job1-0'] == expected_output('job1-0', 40)
+    outputs = await read_all(fleet, 1, 'job1')
+    assert outputs['job1-0'] == expected_output('job1-0', 40)
     await fleet.start_entry(0)
     await until(lambda: fleet.is_ready(0))
-    assert await read_all(fleet, 0, 'job1') == found
+    assert await read_all(fleet, 0, 'job1') == outputs
 
 
 async def test_item_resumes_from_its_last_event_when_stream_is_cut(
@@ -69,17 +69,17 @@
     for number in range(UPSTREAMS):
         await fleet.set_faults(number, cut_after=10)
     await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 25))
-    found = await read_all(fleet, 0, 'job1')
-    assert found['job1-0'] == expected_output('job1-0', 25)
+    outputs = await read_all(fleet, 0, 'job1')
+    assert outputs['job1-0'] == expected_output('job1-0', 25)
     assert sorted(run['last'] for run in await fleet.runs()) == [0, 10, 20]
 
 
 async def test_item_fails_if_rejected_or_after_max_attempts(
     fleet: GatewayFleet,
 ) -> None:
-    poison = base64.b64encode(b'{"poison":1}').decode()
+    poison_body = base64.b64encode(b'{"poison":1}').decode()
     await fleet.request(
-        0, 'job1', '/lists/j', job_doc('job1', 1, 1, body=poison)
+        0, 'job1', '/lists/j', job_doc('job1', 1, 1, body=poison_body)
     )
     assert await read_all(fleet, 1, 'job1') == {'job1-0': ''}
     for number in range(UPSTREAMS):
@@ -91,8 +91,10 @@
 
 
 async def test_cancelled_job_stops_running(fleet: GatewayFleet) -> None:
-    slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
-    await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow))
+    slow_body = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
+    await fleet.request(
+        0, 'job1', '/lists/j', job_doc('job1', 3, 1, body=slow_body)
+    )
     await until(lambda: busy(fleet))
     for _ in range(2):
         reply = await fleet.request(
@@ -138,15 +140,17 @@
     assert len(await fleet.runs()) == 1
 
 
-async def test_submit_is_unsure_while_all_store_responses_are_lost(
+async def test_submit_gives_bad_gateway_while_all_store_responses_are_lost(
     fleet: GatewayFleet,
 ) -> None:
     await fleet.set_store_faults(lose=99, silence=30)
     reply = await fleet.request(0, 'job1', '/lists/j', job_doc('job1', 1, 4))
     assert reply.status == 502
     await fleet.set_store_faults()
-    again = await fleet.request(1, 'job1', '/lists/j', job_doc('job1', 1, 4))
-    assert again.status == 202
+    second_reply = await fleet.request(
+        1, 'job1', '/lists/j', job_doc('job1', 1, 4)
+    )
+    assert second_reply.status == 202
     assert await read_all(fleet, 1, 'job1') == {
         'job1-0': expected_output('job1-0', 4)
     }
@@ -158,12 +162,15 @@
     await fleet.configure(routes)
     for number in range(ENTRIES):
         await until(lambda entry=number: has_applied_config(fleet, entry, 2))
-    slow = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
+    slow_body = base64.b64encode(b'{"events":400,"pause":0.05}').decode()
     statuses = []
     for number in range(6):
         name = f'job{number}'
         reply = await fleet.request(
-            number % ENTRIES, name, '/lists/j', job_doc(name, 2, 1, body=slow)
+            number % ENTRIES,
+            name,
+            '/lists/j',
+            job_doc(name, 2, 1, body=slow_body),
         )
         statuses.append(reply.status)
     # Each job has 20 of the 60 tokens. Instances learn of jobs a second late;
--- a/tests/gateway/test_process_operations.py
+++ b/tests/gateway/test_process_operations.py
@@ -11,7 +11,7 @@
 from tests.gateway.wire_samples import expected_stream, route_doc, route_docs
 from tests.utils.http import send, until
 
-ZONE_WATCH_CHANGED = 3010  # event number: watches the store for its zone or not
+WATCHER_ROLE_CHANGED = 3010  # event number
 
 
 async def test_config_is_applied_everywhere_and_survives_restart_without_store(
@@ -92,6 +92,7 @@
             if line.get('request') == 'r1' and fleet.end_lines(0, 'r1')
         ]
     )
+    # Request placed, attempt ended, request ended.
     assert [line['code'] for line in lines] == [5101, 5103, 5104]
     assert lines[1]['step'] == 'cut'
     assert lines[1]['upstream'] in {'u-0', 'u-1'}
@@ -135,7 +136,7 @@
             if [
                 line['held']
                 for line in fleet.entries[number].log_lines()
-                if line['code'] == ZONE_WATCH_CHANGED
+                if line['code'] == WATCHER_ROLE_CHANGED
             ][-1:]
             == [True]
         ]
--- a/tests/gateway/test_process_requests.py
+++ b/tests/gateway/test_process_requests.py
@@ -84,7 +84,7 @@
     assert not (await fleet.runs())[0]['done']
 
 
-TWO_LENGTHS = b"""GET /get/1 HTTP/1.1\r
+CONFLICTING_LENGTHS = b"""GET /get/1 HTTP/1.1\r
 Host: shop.example\r
 Content-Length: 3\r
 Transfer-Encoding: chunked\r
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    'raw', [TWO_LENGTHS, NEGATIVE_LENGTH, b'no http at all\r\n\r\n']
+    'raw', [CONFLICTING_LENGTHS, NEGATIVE_LENGTH, b'no http at all\r\n\r\n']
 )
 async def test_malformed_request_gives_bad_request_and_is_closed(
     fleet: GatewayFleet, raw: bytes
--- a/tests/gateway/wire.py
+++ b/tests/gateway/wire.py
@@ -19,9 +19,9 @@
 ) -> Reply:
     """Send a request with these header fields; return the whole response.
 
-    Adds ``Content-Length`` and ``Connection: close``. Raises
-    ``OSError`` if the connection can't be opened and ``ConnectionLostError`` if
-    it is lost before the end of the response.
+    ``Content-Length`` and ``Connection: close`` are added. Raise ``OSError``
+    if the connection can't be opened, and ``ConnectionLostError`` if it is
+    lost before the end of the response.
     """
     payload = b'' if body is None else msgspec.json.encode(body)
     lines = [f'{method} {path} HTTP/1.1']
--- a/tests/gateway/wire_samples.py
+++ b/tests/gateway/wire_samples.py
@@ -1,4 +1,4 @@
-"""Routes and jobs as operators and clients send them, expected output."""
+"""Sample routes and jobs, and the output that upstreams give for them."""
 
 import base64
 from typing import Any
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -55,14 +55,19 @@
         """Send online requests of all kinds, one at a time, until stopped."""
         while not self.stopping:
             kind = self._rng.choice(tuple(PATHS))
-            count = 0
+            event_count = 0
             body: Any = {}
             if kind in STREAM_KINDS:
-                count = self._rng.randint(1, MAX_EVENTS)
-                body = {'events': count}
+                event_count = self._rng.randint(1, MAX_EVENTS)
+                body = {'events': event_count}
             entry = self._choose_entry()
             await self._send(
-                kind, self._new_name(kind), entry, PATHS[kind], body, count
+                kind,
+                self._new_name(kind),
+                entry,
+                PATHS[kind],
+                body,
+                event_count,
             )
             await asyncio.sleep(self._rng.random() * 0.1)
 
@@ -119,9 +124,9 @@
             await asyncio.sleep(self._rng.random())
 
     def _fill_item(self, item: dict[str, Any]) -> None:
-        count = self._rng.randint(1, MAX_EVENTS)
-        self._history.event_counts[item['id']] = count
-        body: dict[str, Any] = {'events': count}
+        event_count = self._rng.randint(1, MAX_EVENTS)
+        self._history.event_counts[item['id']] = event_count
+        body: dict[str, Any] = {'events': event_count}
         if self._rng.random() < POISON_SHARE:
             body = {'poison': 1}
             self._history.poison_items.add(item['id'])
@@ -195,10 +200,13 @@
         entry: int,
         path: str,
         body: Any,
-        count: int = 0,
+        event_count: int = 0,
         method: str = 'POST',
     ) -> CallerRequest:
-        """Send one request and record its outcome."""
+        """Send one request and record its outcome.
+
+        The response should have ``event_count`` events; 0 if no stream.
+        """
         deadline = JOB_DEADLINE if kind == 'job' else DEADLINE
         fields = (
             ('X-Attempt-Id', name),
@@ -222,7 +230,7 @@
             response.status,
             response.complete,
             b''.join(response.parts),
-            count,
+            event_count,
         )
         self._history.requests.append(req)
         return req
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,7 +1,8 @@
 """Faults that act from outside the processes, and planned operations.
 
-A fault that lasts is undone before its function returns. The play draws from
-the sorted names of the functions, so renaming one changes what a seed plays.
+A fault that lasts is undone before its function returns, except that silenced
+connections stay silent. The play draws from the sorted names of the functions,
+so renaming one changes what a seed plays.
 """
 
 import asyncio
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -210,7 +210,7 @@
 
 @_check
 def responses_match_requests(history: History) -> Iterator[str]:
-    """Check that a success has its request's body or a prefix, if cut."""
+    """Check that a success has the expected body, or a prefix if cut."""
     for req in history.requests:
         if req.status != OK or req.kind not in ONLINE_KINDS:
             continue
@@ -221,18 +221,18 @@
 def _rows(history: History) -> Iterator[tuple[str, int, Row]]:
     """Yield the job, position and row of every result that was read."""
     for page in history.pages:
-        for number, row in enumerate(page.rows, page.after):
-            yield page.job, number, row
+        for position, row in enumerate(page.rows, page.after):
+            yield page.job, position, row
 
 
 @_check
 def result_positions_do_not_change(history: History) -> Iterator[str]:
-    """Check that positions keep their result and no item is listed twice."""
+    """Check that positions keep their row and no item is listed twice."""
     rows_by_position: dict[tuple[str, int], Row] = {}
-    for job, number, row in _rows(history):
-        known = rows_by_position.setdefault((job, number), row)
+    for job, position, row in _rows(history):
+        known = rows_by_position.setdefault((job, position), row)
         if known != row:
-            yield f'TWICE: {job} at {number}: {known} and {row}'
+            yield f'TWICE: {job} at {position}: {known} and {row}'
     counts = Counter(
         (job, row[0]) for (job, _), row in rows_by_position.items()
     )
@@ -251,7 +251,7 @@
 
 @_check
 def results_match_items(history: History) -> Iterator[str]:
-    """Check that items completed with their output, or failed for a cause."""
+    """Check that items have the expected output or may be dead-lettered."""
     for job, _, row in _rows(history):
         mismatch = history.find_mismatch(job, row)
         if mismatch:
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -64,7 +64,7 @@
         callers.online for _ in range(ONLINE_PER_ENTRY * len(fleet.entries))
     ]
     work += [callers.jobs, callers.jobs, callers.probes]
-    tasks = [asyncio.create_task(run()) for run in work]
+    tasks = [asyncio.create_task(caller()) for caller in work]
     await _inject_faults(fleet, rng, FAULTS, FAULT_TIME)
     await _clear_faults(fleet)
     await asyncio.sleep(SETTLE_TIME)
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -65,15 +65,19 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         try:
-            target = await asyncio.open_connection(*self._target)
+            target_streams = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        conn = _ProxiedConnection((writer, target[1]))
+        conn = _ProxiedConnection((writer, target_streams[1]))
         self._conns.add(conn)
         pumps = (
-            asyncio.create_task(self._pump(UP, reader, target[1], conn)),
-            asyncio.create_task(self._pump(DOWN, target[0], writer, conn)),
+            asyncio.create_task(
+                self._pump(UP, reader, target_streams[1], conn)
+            ),
+            asyncio.create_task(
+                self._pump(DOWN, target_streams[0], writer, conn)
+            ),
         )
         try:
             await asyncio.wait(pumps)
--- a/tests/utils/http.py
+++ b/tests/utils/http.py
@@ -12,7 +12,7 @@
 
 
 class Reply(NamedTuple):
-    """A whole response; names of headers are in lower case."""
+    """A whole response; names of ``headers`` are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -32,8 +32,8 @@
 ) -> Reply:
     """Send one request and return its whole response.
 
-    A body that isn't bytes is sent as JSON. Names of headers have underscores
-    for dashes. Raise ``NotSentError`` or ``LostError``.
+    A body that isn't bytes is sent as JSON. Names of ``headers`` have
+    underscores for dashes. Raise ``NotSentError`` or ``ConnectionLostError``.
     """
     if not isinstance(body, bytes):
         body = msgspec.json.encode(body)
@@ -49,11 +49,11 @@
         reply_body = await answer.read()
     finally:
         conn.close()
-    found = {
+    reply_headers = {
         name.decode().lower(): text.decode()
         for name, text in answer.raw_headers
     }
-    return Reply(answer.status, found, reply_body)
+    return Reply(answer.status, reply_headers, reply_body)
 
 
 async def send_raw(address: Address, raw: bytes) -> bytes:
