--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -265,7 +265,7 @@
 
 
 async def measure_decision(folder: Path) -> list[str]:
-    """Measure the time of a routing decision among 350 upstreams."""
+    """Time a decision of each routing policy among 350 upstreams."""
     rng = random.Random(7)
     candidates = [
         Candidate(
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -14,7 +14,7 @@
 
 
 async def measure_store(folder: Path) -> list[str]:
-    """Count store calls for 1,000 batch items, writes for 200 requests."""
+    """Count store calls per 1,000 batch items and 200 online requests."""
     fleet = await start_fleet(folder)
     try:
         before = await _store_calls(fleet)
